--- a/crates/change-log/src/error.rs
+++ b/crates/change-log/src/error.rs
@@ -1,35 +1,37 @@
-//! The errors of the store.
+//! Errors of the change log store.
 use mallowseam_durable_store::{Damage, StoreError};
 use mallowseam_plans::error::LogError;
 
-/// Why the store cannot be opened, read or written. Operators read these texts on the control socket.
+/// Reason why the store cannot be opened, read or written. Operators read these texts on the control socket.
 pub type Error = StoreError<LogDamage>;
 
-/// A damage of the contents of the store.
+/// Damage to the contents of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum LogDamage {
     /// An entry does not follow the one before it.
     #[error(transparent)]
     Entry(#[from] LogError),
-    /// A checkpoint is no state.
+    /// A checkpoint cannot be decoded as a state.
     #[error(transparent)]
     MalformedCheckpoint(#[from] serde_json::Error),
-    /// A checkpoint is stored under another version than its own.
-    #[error("state {found} under {expected}")]
+    /// A checkpoint is stored under another version than that of its state.
+    #[error("checkpoint contains state of version {found}, expected version {expected}")]
     CheckpointVersion {
-        /// Version of the state.
+        /// Version of the state in the checkpoint.
         found: u64,
-        /// Version that it is stored under.
+        /// Version that the checkpoint is stored under.
         expected: u64,
     },
     /// Replaying the log leads to another state than the checkpoint.
-    #[error("the state kept at version {version} is not what the trail gives")]
+    #[error(
+        "checkpoint at version {version} differs from the state that results from the change log"
+    )]
     CheckpointDiffers {
         /// Version of the checkpoint.
         version: u64,
     },
-    /// Replaying the log leads to another state than the stored one.
-    #[error("the trail does not lead to the state in force")]
+    /// Replaying the log leads to another state than the newest one in memory.
+    #[error("state that results from the change log differs from the state in use")]
     StateDiffers,
 }
 
--- a/crates/change-log/src/lib.rs
+++ b/crates/change-log/src/lib.rs
@@ -1,6 +1,6 @@
 //! The change log of plans on disk: its entries and, at regular intervals, a checkpoint, which is the full state after
-//! an entry. Opening the store reads the last checkpoint and the entries after it, however long the log is. An entry
-//! for which `append` has returned is on disk after any crash.
+//! an entry. Opening the store reads only the last checkpoint and the entries after it, however long the log is. An
+//! entry for which `append` has returned is on disk after any crash.
 #![warn(missing_docs)]
 
 mod error;
@@ -14,20 +14,20 @@
 use std::ops::Bound;
 use std::path::Path;
 
-/// The text of each entry, by version.
+/// Text of each entry, by version.
 const ENTRIES: TableDefinition<u64, &str> = TableDefinition::new("lines");
-/// Checkpoints by version: the state as JSON, and the hash of its entry.
+/// Checkpoints by version: the state as JSON, and the hash of the entry that led to it.
 const CHECKPOINTS: TableDefinition<u64, (&str, &str)> = TableDefinition::new("states");
-/// Names of the hosts that replicate the log: after a restart the service must wait also for those that have not
-/// connected yet.
+/// Names of the hosts that replicate the log. After a restart, a version is effective at all hosts only once those that
+/// have not connected again yet have accepted it too.
 const MEMBERS: TableDefinition<&str, ()> = TableDefinition::new("members");
-/// The format of the store; no other one exists yet.
+/// Format of the store; no other format exists yet.
 const FORMAT: Format = Format {
     key: "plans",
     current: 1,
     oldest: 1,
 };
-/// Entries between two checkpoints: replaying as many takes some tens of milliseconds.
+/// Number of entries between two checkpoints; replaying this many takes some tens of milliseconds.
 pub const CHECKPOINT_INTERVAL: u64 = 1_024;
 
 /// An open store of the change log.
@@ -38,7 +38,7 @@
 }
 
 impl ChangeLogStore {
-    /// Opens a file, or creates it.
+    /// Opens the store in a file, which is created if it does not exist.
     ///
     /// # Errors
     ///
@@ -47,7 +47,7 @@
         ChangeLogStore::read(DurableStore::open(path, FORMAT, create_tables)?)
     }
 
-    /// The same on another storage than a file.
+    /// Opens the store on another storage backend than a file.
     ///
     /// # Errors
     ///
@@ -65,18 +65,18 @@
         Ok(ChangeLogStore { store, log })
     }
 
-    /// The newest state, with the hash of the last entry.
+    /// Returns the log at its newest version: the state, and the hash of the last entry.
     #[must_use]
     pub fn log(&self) -> &ChangeLog {
         &self.log
     }
 
-    /// Writes the next entry to disk, as it was proposed, and applies it.
+    /// Writes the next entry, given as the text that was proposed, to disk and applies it.
     ///
     /// # Errors
     ///
-    /// The entry does not follow the log; nothing is changed then. After an error of the database the store takes no
-    /// more entries: it has to be reopened.
+    /// The entry does not follow the log; the store is unchanged then. After an error of the database the store accepts
+    /// no more entries and has to be reopened.
     pub fn append(&mut self, text: &str) -> Result<LogEntry, Error> {
         self.store.check_not_poisoned()?;
         let mut next = self.log.clone();
@@ -94,11 +94,11 @@
         Ok(entry)
     }
 
-    /// Names of the hosts that replicate the log.
+    /// Returns the names of the hosts that replicate the log.
     ///
     /// # Errors
     ///
-    /// Those of the database.
+    /// The database cannot be read.
     pub fn members(&self) -> Result<Vec<String>, Error> {
         let members = self.store.begin_read()?.open_table(MEMBERS)?;
         members
@@ -107,11 +107,11 @@
             .collect()
     }
 
-    /// A host replicates the log from now on.
+    /// Records on disk that a host replicates the log from now on.
     ///
     /// # Errors
     ///
-    /// Those of the database.
+    /// The database cannot be written.
     pub fn add_member(&mut self, host: &str) -> Result<(), Error> {
         self.store.write(|transaction| {
             transaction.open_table(MEMBERS)?.insert(host, ())?;
@@ -119,11 +119,11 @@
         })
     }
 
-    /// A host has permanently stopped to replicate the log.
+    /// Records on disk that a host has permanently stopped replicating the log.
     ///
     /// # Errors
     ///
-    /// Those of the database.
+    /// The database cannot be written.
     pub fn remove_member(&mut self, host: &str) -> Result<(), Error> {
         self.store.write(|transaction| {
             transaction.open_table(MEMBERS)?.remove(host)?;
@@ -131,11 +131,11 @@
         })
     }
 
-    /// The texts of at most `limit` entries, from a version on.
+    /// Returns the texts of at most `limit` entries, starting with the one that led to version `from`.
     ///
     /// # Errors
     ///
-    /// Those of the database.
+    /// The database cannot be read.
     pub fn entries(&self, from: u64, limit: usize) -> Result<Vec<String>, Error> {
         let entries = self.store.begin_read()?.open_table(ENTRIES)?;
         entries
@@ -145,11 +145,11 @@
             .collect()
     }
 
-    /// The log as it was at a version. None: there is no such version yet.
+    /// Returns the log as it was at a version. None: the version does not exist yet.
     ///
     /// # Errors
     ///
-    /// Those of the database; the contents are damaged.
+    /// The database cannot be read, or its contents are damaged.
     pub fn log_at(&self, version: u64) -> Result<Option<ChangeLog>, Error> {
         if version > self.log.state.version {
             return Ok(None);
@@ -157,12 +157,12 @@
         read_log(&self.store, Bound::Included(version)).map(Some)
     }
 
-    /// Replays all entries from nothing and compares the result with every checkpoint and with the newest state.
-    /// Returns how many entries there are.
+    /// Replays all entries from the empty state, and compares the result with every checkpoint and with the newest
+    /// state. Returns the number of entries.
     ///
     /// # Errors
     ///
-    /// Those of the database; the first difference.
+    /// The database cannot be read, or its contents are damaged; the first difference is returned.
     pub fn verify(&self) -> Result<u64, Error> {
         let transaction = self.store.begin_read()?;
         let entries = transaction.open_table(ENTRIES)?;
@@ -185,7 +185,7 @@
     }
 }
 
-/// Creates the tables. There is one format so far, so that nothing is converted.
+/// Creates the tables. Only one format exists so far, so nothing is converted.
 fn create_tables(transaction: &WriteTransaction, _stored: StoredFormat) -> Result<(), Error> {
     transaction.open_table(ENTRIES)?;
     transaction.open_table(CHECKPOINTS)?;
@@ -193,7 +193,7 @@
     Ok(())
 }
 
-/// The log up to a version, from the last checkpoint and the entries after it.
+/// Returns the log up to a version, from the last checkpoint and the entries after it.
 fn read_log(store: &DurableStore, up_to: Bound<u64>) -> Result<ChangeLog, Error> {
     let transaction = store.begin_read()?;
     let mut log = ChangeLog::default();
--- a/crates/change-log/tests/crash_recovery.rs
+++ b/crates/change-log/tests/crash_recovery.rs
@@ -1,12 +1,13 @@
-//! Power lost at every write; entries altered on disk.
+//! Power loss during every write, and entries that are altered on disk: a crash must lose no acknowledged entry, and
+//! verification must detect an altered entry.
 use mallowseam_change_log::{CHECKPOINT_INTERVAL, ChangeLogStore};
 use mallowseam_durable_store::testing::{Call, RecordingBackend, apply_call};
 use mallowseam_plans::change_log::ChangeLog;
 use mallowseam_plans::state::{Change, Plan};
 use redb::ReadableDatabase;
 
-/// Bytes that a disk writes at once.
-const SECTOR: usize = 512;
+/// Size of a disk sector in bytes: the unit in which a write can be torn.
+const SECTOR_BYTES: usize = 512;
 
 fn change(n: u64) -> Change {
     let plan = Plan {
@@ -24,65 +25,73 @@
     store
         .log()
         .propose(store.log().state.version, "a", "b", n, change(n))
-        .expect("fits")
+        .expect("the change is valid")
 }
 
 fn append(store: &mut ChangeLogStore, n: u64) {
     let text = entry(store, n);
-    store.append(&text).expect("written");
+    store.append(&text).expect("cannot append the entry");
 }
 
 #[test]
-fn write_torn_at_any_sector_reopens_to_what_was_acknowledged() {
+fn store_with_a_write_torn_at_any_sector_reopens_with_all_acknowledged_entries() {
     let backend = RecordingBackend::default();
-    let mut store = ChangeLogStore::open_with_backend(backend.clone()).expect("new");
-    let (mut contents, opened) = (backend.contents(), backend.calls().len());
-    // Calls made so far, and the log that was acknowledged by then.
-    let mut acknowledged: Vec<(usize, ChangeLog)> = vec![(opened, store.log().clone())];
+    let mut store =
+        ChangeLogStore::open_with_backend(backend.clone()).expect("cannot create the store");
+    let (mut contents, calls_of_open) = (backend.contents(), backend.calls().len());
+    // Number of backend calls so far, and the log that was acknowledged by then.
+    let mut acknowledged: Vec<(usize, ChangeLog)> = vec![(calls_of_open, store.log().clone())];
     for n in 0..12 {
         append(&mut store, n);
         acknowledged.push((backend.calls().len(), store.log().clone()));
     }
     contents.resize(backend.contents().len(), 0);
     let calls = backend.calls();
-    let mut torn = 0;
-    for (index, call) in calls.iter().enumerate().skip(opened) {
+    let mut torn_writes = 0;
+    for (index, call) in calls.iter().enumerate().skip(calls_of_open) {
         let Call::Write { offset, data } = call else {
             continue;
         };
-        let done = acknowledged
+        let last_acknowledged = acknowledged
             .iter()
             .rposition(|a| a.0 <= index)
-            .expect("the first");
-        let allowed = &acknowledged[done..(done + 2).min(acknowledged.len())];
-        for length in (0..=data.len()).step_by(SECTOR) {
-            let mut half = contents.clone();
+            .expect("the new store is acknowledged before any write");
+        let allowed =
+            &acknowledged[last_acknowledged..(last_acknowledged + 2).min(acknowledged.len())];
+        for length in (0..=data.len()).step_by(SECTOR_BYTES) {
+            let mut torn_contents = contents.clone();
             apply_call(
-                &mut half,
+                &mut torn_contents,
                 &Call::Write {
                     offset: *offset,
                     data: data[..length].to_vec(),
                 },
             );
-            let backend = RecordingBackend::with_contents(half);
-            let store = ChangeLogStore::open_with_backend(backend).expect("it opens");
+            let backend = RecordingBackend::with_contents(torn_contents);
+            let store = ChangeLogStore::open_with_backend(backend)
+                .expect("the store must open after a torn write");
             assert!(
                 allowed.iter().any(|a| a.1 == *store.log()),
-                "write {index} torn at {length}"
+                "write call {index}, torn after {length} bytes, led to neither the last acknowledged log nor the next one"
             );
-            store.verify().expect("valid");
-            torn += 1;
+            store
+                .verify()
+                .expect("the store must be valid after a torn write");
+            torn_writes += 1;
         }
         apply_call(&mut contents, call);
     }
-    assert!(torn > 300, "{torn} torn writes");
+    assert!(
+        torn_writes > 300,
+        "only {torn_writes} torn writes were tested"
+    );
 }
 
 #[test]
 fn long_log_opens_from_its_last_checkpoint_and_verifies_from_its_first_entry() {
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("cannot create a temporary directory");
     let path = dir.path().join("plans");
-    let mut store = ChangeLogStore::open(&path).expect("new");
+    let mut store = ChangeLogStore::open(&path).expect("cannot create the store");
     let mut middle = None;
     for n in 0..CHECKPOINT_INTERVAL + 50 {
         append(&mut store, n);
@@ -92,20 +101,28 @@
     }
     let last = store.log().clone();
     for host in ["a", "b", "a"] {
-        store.add_member(host).expect("written");
+        store.add_member(host).expect("cannot add the member");
     }
-    store.remove_member("b").expect("written");
+    store.remove_member("b").expect("cannot remove the member");
     drop(store);
-    let store = ChangeLogStore::open(&path).expect("there");
-    let entries = store.verify().expect("valid");
+    let store = ChangeLogStore::open(&path).expect("cannot open the store");
+    let entries = store.verify().expect("the store must be valid");
     assert_eq!((store.log(), entries), (&last, CHECKPOINT_INTERVAL + 50));
-    assert_eq!(store.members().expect("valid"), ["a"]);
-    assert_eq!(store.log_at(701).expect("valid"), middle);
-    assert_eq!(store.log_at(CHECKPOINT_INTERVAL + 51).expect("valid"), None);
+    assert_eq!(store.members().expect("the store must be readable"), ["a"]);
+    assert_eq!(
+        store.log_at(701).expect("the store must be readable"),
+        middle
+    );
+    assert_eq!(
+        store
+            .log_at(CHECKPOINT_INTERVAL + 51)
+            .expect("the store must be readable"),
+        None
+    );
     assert_eq!(
         store
             .entries(CHECKPOINT_INTERVAL + 40, 5)
-            .expect("valid")
+            .expect("the store must be readable")
             .len(),
         5
     );
@@ -113,56 +130,63 @@
 
 #[test]
 fn entry_altered_on_disk_is_reported() {
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("cannot create a temporary directory");
     let path = dir.path().join("plans");
-    let mut store = ChangeLogStore::open(&path).expect("new");
+    let mut store = ChangeLogStore::open(&path).expect("cannot create the store");
     (0..CHECKPOINT_INTERVAL + 5).for_each(|n| append(&mut store, n));
     drop(store);
     let table = redb::TableDefinition::<u64, &str>::new("lines");
-    let db = redb::Database::create(&path).expect("there");
+    let db = redb::Database::create(&path).expect("cannot open the database");
     let old = {
-        let read = db.begin_read().expect("open");
+        let read = db.begin_read().expect("cannot begin to read");
         read.open_table(table)
-            .expect("there")
+            .expect("cannot open the table")
             .get(17)
-            .expect("there")
-            .expect("an entry")
+            .expect("cannot read the table")
+            .expect("entry 17 is missing")
             .value()
             .to_owned()
     };
-    let write = db.begin_write().expect("open");
+    let write = db.begin_write().expect("cannot begin to write");
     let altered = old.replace("\"a\"", "\"c\"");
     write
         .open_table(table)
-        .expect("there")
+        .expect("cannot open the table")
         .insert(17, altered.as_str())
-        .expect("fits");
-    write.commit().expect("written");
+        .expect("cannot write the entry");
+    write.commit().expect("cannot commit");
     drop(db);
-    // The state in force does not depend on that entry, since a checkpoint follows it; verification finds it.
-    let store = ChangeLogStore::open(&path).expect("there");
-    let error = store.verify().expect_err("altered").to_string();
+    // The newest state does not depend on the altered entry, since a checkpoint follows it, so the store opens;
+    // verification detects the alteration.
+    let store = ChangeLogStore::open(&path).expect("cannot open the store");
+    let error = store
+        .verify()
+        .expect_err("an altered entry must be detected")
+        .to_string();
     assert!(error.contains("trail line 18: does not follow"), "{error}");
 }
 
-/// Opening and verifying a long log: `cargo test --release -p mallowseam-change-log -- --ignored --nocapture`.
+/// Measures how long it takes to append to, open and verify a long log. Run with
+/// `cargo test --release -p mallowseam-change-log -- --ignored --nocapture`.
 #[test]
 #[ignore = "a benchmark"]
 fn benchmark_long_log() {
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("cannot create a temporary directory");
     let path = dir.path().join("plans");
-    let mut store = ChangeLogStore::open(&path).expect("new");
+    let mut store = ChangeLogStore::open(&path).expect("cannot create the store");
     let entries = 100_000;
     let start = std::time::Instant::now();
     (0..entries).for_each(|n| append(&mut store, n));
     let written = start.elapsed();
     drop(store);
     let start = std::time::Instant::now();
-    let store = ChangeLogStore::open(&path).expect("there");
+    let store = ChangeLogStore::open(&path).expect("cannot open the store");
     let opened = start.elapsed();
     let start = std::time::Instant::now();
-    store.verify().expect("valid");
-    let bytes = std::fs::metadata(&path).expect("there").len();
+    store.verify().expect("the store must be valid");
+    let bytes = std::fs::metadata(&path)
+        .expect("cannot read the size of the file")
+        .len();
     println!(
         "{entries} entries: written in {:.0} us each, {} bytes an entry, opened in {opened:.1?}, verified in {:.1?}",
         written.as_micros() as f64 / entries as f64,
