--- a/crates/plan-service/src/rollout_waits.rs
+++ b/crates/plan-service/src/rollout_waits.rs
@@ -68,7 +68,7 @@
         (now >= self.deadline).then(|| {
             let blockers = describe_blockers(&blockers);
             let reason =
-                format!("version {version} is stored but not in force at all hosts: {blockers}");
+                format!("version {version} stands, but is not in force at all hosts: {blockers}");
             control_socket::refusal(&reason)
         })
     }
--- a/crates/plan-service/src/rollout_waits/tests.rs
+++ b/crates/plan-service/src/rollout_waits/tests.rs
@@ -29,6 +29,6 @@
     let ended = waits.take_ended(&rollout, MAX_ROLLOUT_WAIT);
     assert_eq!(
         ended[0].answer,
-        "error: version 2 is stored but not in force at all hosts: gw0 acts on 1"
+        "error: version 2 stands, but is not in force at all hosts: gw0 acts on 1"
     );
 }
--- a/crates/plans/src/error.rs
+++ b/crates/plans/src/error.rs
@@ -1,5 +1,5 @@
 //! Errors of the package. Operators read their texts in answers on the control socket, and hosts receive them as
-//! reasons.
+//! reasons. `tests/pinned_decisions.rs` covers most of the texts with its recorded hashes.
 use thiserror::Error;
 
 /// Reason why a change cannot be made to the current plans.
--- a/crates/plans/src/host_quota.rs
+++ b/crates/plans/src/host_quota.rs
@@ -24,7 +24,7 @@
 /// A host's quota of one limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostQuota {
-    /// The limit divided by the number of hosts of the volume.
+    /// The nominal quota: the limit divided by the number of hosts of the volume.
     nominal: MilliUnits,
     /// Amounts lent to other hosts. The largest one that has not expired counts.
     loans: Vec<ExpiringAmount>,
--- a/crates/plans/src/replica.rs
+++ b/crates/plans/src/replica.rs
@@ -173,8 +173,7 @@
     }
 
     /// Returns whether the caller should try to connect now; if so, the next attempt is due after an exponential
-    /// backoff.
-    /// `jitter`, from 0 to 1,000, spreads the attempts of different hosts.
+    /// backoff. `jitter`, from 0 to 1,000, spreads the attempts of different hosts.
     pub fn should_connect(&mut self, now: Millis, jitter: u64) -> bool {
         self.backoff.is_attempt_due(now, jitter)
     }
