--- a/crates/iscsi/src/error.rs
+++ b/crates/iscsi/src/error.rs
@@ -1,26 +1,26 @@
-//! Why a connection cannot go on.
+//! Errors that end a connection.
 use crate::frame::FrameError;
 use crate::login::{LoginError, LoginStatus};
 use crate::params::ParamError;
 use crate::text::TextError;
 use thiserror::Error;
 
-/// A violation of the protocol by the peer, after which the connection is to be closed.
+/// Violation of the protocol by the peer, after which the connection is to be closed.
 ///
-/// What was put into the send buffer before the error (a Reject or a login response, say) is still to be sent.
+/// The bytes in the send buffer, such as a Reject or a login response, are still to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// The byte stream cannot be split into PDUs any further.
+    /// The byte stream cannot be decoded into PDUs any further.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The text of a text request or of a login response is malformed.
     #[error(transparent)]
     Text(#[from] TextError),
-    /// The target's answer to an operational parameter is invalid.
+    /// At an initiator: the answer of the target to an operational parameter is invalid.
     #[error(transparent)]
     Param(#[from] ParamError),
 
-    /// At a target: the first PDUs of a connection have to be login requests.
+    /// At a target: a PDU other than a login request was received during login.
     #[error("opcode {opcode:#04x}, expected a login request")]
     ExpectedLoginRequest {
         /// Opcode of the PDU that was received instead.
@@ -31,17 +31,17 @@
     LoginRejected {
         /// Status that the login response carries.
         status: LoginStatus,
-        /// What was wrong with the login.
+        /// Reason for which the login was rejected.
         #[source]
         reason: LoginError,
     },
-    /// At a target: a PDU that an initiator may not send in the full feature phase.
+    /// At a target: a PDU was received that an initiator must not send in the full feature phase.
     #[error("opcode {opcode:#04x} is not for the full feature phase")]
     UnexpectedRequest {
         /// Opcode of the PDU.
         opcode: u8,
     },
-    /// At a target: a command sequence number is missing, and on the only connection it cannot come any more.
+    /// At a target: a command sequence number is missing. It cannot arrive later, since the session has one connection.
     #[error("CmdSN {received}, expected {expected}")]
     CommandSequenceGap {
         /// `CmdSN` of the request.
@@ -49,58 +49,58 @@
         /// `ExpCmdSN` of the session.
         expected: u32,
     },
-    /// At a target: a command reuses the tag of a task, or uses the reserved tag.
+    /// At a target: a command uses the tag of another task or the reserved tag.
     #[error("task tag {itt:#x} is in use")]
     TaskTagInUse {
         /// Initiator task tag of the command.
         itt: u32,
     },
-    /// At a target: a write that is too long, whose unsolicited data follows.
+    /// At a target: a write that is too long, or that also reads, is followed by unsolicited data.
     #[error("write of {len} bytes, at most {limit}")]
     WriteTooLong {
-        /// Expected data transfer length in bytes.
+        /// Expected data transfer length, in bytes.
         len: usize,
-        /// Largest transfer in bytes.
+        /// Maximum length of a write, in bytes.
         limit: usize,
     },
-    /// At a target: more immediate data than was negotiated, or than the write is long.
+    /// At a target: a command has more immediate data than was negotiated or than it writes.
     #[error("immediate data past what was agreed")]
     ImmediateDataTooLong,
-    /// At a target: unsolicited Data-Out PDUs are announced although `InitialR2T` is Yes.
+    /// At a target: a command announces unsolicited Data-Out PDUs although `InitialR2T` is Yes.
     #[error("unsolicited data where none was agreed")]
     UnsolicitedData,
-    /// At a target: Data-Out that belongs to no R2T that is open.
+    /// At a target: the target transfer tag of a Data-Out is not the one expected in the current phase of the transfer.
     #[error("data for transfer tag {tag:#x}, not asked for")]
     UnknownTransferTag {
         /// Target transfer tag of the PDU.
         tag: u32,
     },
-    /// At a target: Data-Out out of order.
+    /// At a target: the buffer offset or `DataSN` of a Data-Out is out of order.
     #[error("data at {offset}, expected at {expected} in order")]
     WriteDataOutOfOrder {
         /// Buffer offset of the PDU.
         offset: usize,
-        /// Bytes received so far.
+        /// Number of bytes received so far, which is the expected buffer offset.
         expected: usize,
     },
-    /// At a target: Data-Out past the end of its burst.
+    /// At a target: the data of a Data-Out extends past the end of its burst.
     #[error("data to {end}, expected up to {limit}")]
     DataPastBurst {
-        /// Buffer offset behind the last byte of the PDU.
+        /// Buffer offset after the last byte of the PDU.
         end: usize,
-        /// Buffer offset at which the burst ends.
+        /// Buffer offset at which the burst ends at the latest.
         limit: usize,
     },
-    /// At a target: a Data-Out PDU without data that does not end its burst.
+    /// At a target: a Data-Out without data does not end its burst.
     #[error("data PDU without data")]
     EmptyDataOut,
-    /// At a target: a solicited burst ended before all the data that was requested had come.
+    /// At a target: a solicited burst ended before all the requested data was received.
     #[error("burst ended short of what was asked for")]
     BurstTooShort,
-    /// At a target: all data of a solicited burst has come, and its last PDU lacks the final bit.
+    /// At a target: the Data-Out that completes a solicited burst lacks the final bit.
     #[error("burst goes on past what was asked for")]
     BurstNotEnded,
-    /// At a target: the answer to `SendTargets` does not fit one data segment of the initiator.
+    /// At a target: the answer to `SendTargets` is longer than a data segment that the initiator accepts.
     #[error("list of targets past the initiator's segment")]
     TargetListTooLong,
 
@@ -113,10 +113,10 @@
     /// At an initiator: the target rejected the login.
     #[error("login refused, status {0}")]
     LoginStatus(LoginStatus),
-    /// At an initiator: the target neither ends the login nor rejects it.
+    /// At an initiator: the target neither completes nor rejects the login within the maximum number of requests.
     #[error("login goes on after eight requests")]
     LoginTooLong,
-    /// At an initiator: a status sequence number is missing or repeated.
+    /// At an initiator: a status sequence number is missing or duplicate.
     #[error("StatSN {received}, expected {expected}")]
     StatusSequenceGap {
         /// `StatSN` of the response.
@@ -124,34 +124,34 @@
         /// `ExpStatSN` of the connection.
         expected: u32,
     },
-    /// At an initiator: an asynchronous message by which the target ends the connection or the session.
+    /// At an initiator: the target sent an asynchronous message that ends the connection or the session.
     #[error("target drops the connection (event {event})")]
     DroppedByTarget {
         /// `AsyncEvent` (section 11.9.1).
         event: u8,
     },
-    /// At an initiator: a PDU that a target may not send.
+    /// At an initiator: a PDU was received that a target must not send in the full feature phase.
     #[error("opcode {opcode:#04x} from a target")]
     UnexpectedResponse {
         /// Opcode of the PDU.
         opcode: u8,
     },
-    /// At an initiator: Data-In out of order, or more of it than was expected.
+    /// At an initiator: Data-In is out of order, or longer than expected.
     #[error("data at {offset}, expected at {expected}")]
     ReadDataOutOfOrder {
         /// Buffer offset of the PDU.
         offset: u32,
-        /// Bytes received so far.
+        /// Number of bytes received so far, which is the expected buffer offset.
         expected: usize,
     },
-    /// At an initiator: an R2T for no data, or for other data than the next.
+    /// At an initiator: an R2T requests no data, or data other than that which comes next.
     #[error("asked for {len} bytes at {offset}, {sent} to come")]
     InvalidReadyToTransfer {
-        /// Desired data transfer length in bytes.
+        /// Desired data transfer length, in bytes.
         len: usize,
-        /// Buffer offset of the data that is requested.
+        /// Buffer offset of the requested data.
         offset: usize,
-        /// Bytes sent so far.
+        /// Number of bytes sent so far.
         sent: usize,
     },
 }
--- a/crates/iscsi/src/frame/decoder.rs
+++ b/crates/iscsi/src/frame/decoder.rs
@@ -1,24 +1,24 @@
-//! PDUs from a byte stream.
+//! Decoding of PDUs from a byte stream.
 use super::{DIGEST_LEN, Digests, FrameError, data_digest, padded};
 use crate::pdu::{BHS_LEN, Bhs, Pdu};
 
-/// Most bytes behind a data segment: three of padding and a digest.
+/// Maximum number of bytes that follow a data segment: three bytes of padding and a digest.
 const MAX_TRAILER_LEN: usize = 3 + DIGEST_LEN;
 
-/// Decodes PDUs from bytes that come in pieces of any size. Holds at most one PDU.
+/// Decoder of PDUs from bytes that arrive in pieces of any size. Buffers at most one PDU.
 pub struct PduDecoder {
     digests: Digests,
     max_data_segment: usize,
-    /// Header segments and header digest, as far as they have come.
+    /// Header segments and header digest, as far as received.
     header: Vec<u8>,
     data: Vec<u8>,
-    /// Padding and data digest, as far as they have come.
+    /// Padding and data digest, as far as received.
     trailer: [u8; MAX_TRAILER_LEN],
     trailer_len: usize,
 }
 
 impl PduDecoder {
-    /// A decoder without digests that accepts data segments of up to `max_data_segment` bytes.
+    /// Returns a decoder that expects no digests and accepts data segments of up to `max_data_segment` bytes.
     pub fn new(max_data_segment: usize) -> Self {
         PduDecoder {
             digests: Digests::default(),
@@ -30,26 +30,27 @@
         }
     }
 
-    /// Sets what was negotiated, with effect from the next PDU on.
+    /// Sets the negotiated digests and maximum data segment length (in bytes), with effect from the next PDU on.
     pub fn set_limits(&mut self, digests: Digests, max_data_segment: usize) {
         self.digests = digests;
         self.max_data_segment = max_data_segment;
     }
 
-    /// Whether a PDU has begun and is not complete yet.
+    /// Returns whether a PDU has been received in part.
     pub fn is_mid_pdu(&self) -> bool {
         !self.header.is_empty()
     }
 
-    /// Bytes of memory allocated for the PDU that is coming in.
+    /// Returns the memory allocated for the PDU that is being received, in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.header.capacity() + self.data.capacity()
     }
 
-    /// Takes bytes off the front of `input` until a PDU is complete or `input` is empty.
+    /// Consumes bytes from the front of `input` until a PDU is complete or `input` is empty. Returns the PDU, or
+    /// `None` if more bytes are needed.
     ///
     /// # Errors
-    /// A digest does not match, or the data segment is too long.
+    /// Fails if a digest does not match or the data segment is too long.
     pub fn decode(&mut self, input: &mut &[u8]) -> Result<Option<Pdu>, FrameError> {
         if !self.fill_header(input, BHS_LEN) {
             return Ok(None);
@@ -70,7 +71,7 @@
         self.finish_pdu(bhs).map(Some)
     }
 
-    /// Reads header bytes until there are `len`; whether there are.
+    /// Reads header bytes from `input` until `len` of them are buffered; returns whether they are.
     fn fill_header(&mut self, input: &mut &[u8], len: usize) -> bool {
         let missing = len.saturating_sub(self.header.len());
         self.header.extend_from_slice(take_front(input, missing));
@@ -97,7 +98,7 @@
         Ok(())
     }
 
-    /// Reads the data segment, its padding and its digest; whether all of them are there.
+    /// Reads the data segment of `len` bytes, its padding and its digest; returns whether they are complete.
     fn fill_data(&mut self, input: &mut &[u8], len: usize) -> bool {
         let missing = len - self.data.len();
         self.data.extend_from_slice(take_front(input, missing));
@@ -131,7 +132,7 @@
     }
 }
 
-/// Takes up to `len` bytes off the front of `input`.
+/// Removes up to `len` bytes from the front of `input` and returns them.
 fn take_front<'a>(input: &mut &'a [u8], len: usize) -> &'a [u8] {
     let (taken, rest) = input.split_at(len.min(input.len()));
     *input = rest;
--- a/crates/iscsi/src/frame/send_buffer.rs
+++ b/crates/iscsi/src/frame/send_buffer.rs
@@ -1,28 +1,29 @@
-//! PDUs to a byte stream.
+//! Encoding of PDUs into a byte stream.
 use super::{Digests, data_digest, padded};
 use crate::pdu::Bhs;
 
-/// Largest allocation in bytes that an empty buffer keeps for the next PDUs; also how many sent bytes are
-/// left at its front before the rest is moved down.
+/// Largest allocation that an empty buffer keeps for the next PDUs, in bytes. Also the number of sent bytes that
+/// may stay at the front of a buffer before the unsent ones are moved there.
 const RETAINED_CAPACITY: usize = 16 * 1024;
 
-/// Encoded PDUs that wait to be written to a stream, with their position in it.
+/// Encoded PDUs that are waiting to be written to a stream, with their position in it.
 #[derive(Default)]
 pub struct SendBuffer {
     bytes: Vec<u8>,
     /// Index of the first unsent byte.
     start: usize,
+    /// Bytes written since the stream opened.
     sent: u64,
     digests: Digests,
 }
 
 impl SendBuffer {
-    /// Sets what was negotiated, with effect from the next PDU on.
+    /// Sets the negotiated digests, with effect from the next PDU on.
     pub fn set_digests(&mut self, digests: Digests) {
         self.digests = digests;
     }
 
-    /// Appends a PDU. Sets the data segment length in its header.
+    /// Appends a PDU, after setting the data segment length in its header.
     pub fn push(&mut self, mut bhs: Bhs, data: &[u8]) {
         bhs.set_data_len(data.len());
         self.bytes.extend_from_slice(bhs.as_bytes());
@@ -41,12 +42,12 @@
         }
     }
 
-    /// The bytes that wait to be written.
+    /// Returns the bytes that are waiting to be written.
     pub fn unsent(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Takes note that the first `len` unsent bytes were written.
+    /// Records that the first `len` unsent bytes have been written.
     pub fn mark_sent(&mut self, len: usize) {
         self.start += len;
         self.sent += len as u64;
@@ -62,17 +63,17 @@
         }
     }
 
-    /// Bytes written since the stream opened.
+    /// Returns the number of bytes written since the stream opened.
     pub fn sent_bytes(&self) -> u64 {
         self.sent
     }
 
-    /// Offset in the stream of the next byte that is pushed.
+    /// Returns the stream offset of the next byte to be appended.
     pub fn end_offset(&self) -> u64 {
         self.sent + self.unsent().len() as u64
     }
 
-    /// Bytes of memory allocated.
+    /// Returns the memory allocated for the buffer, in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.bytes.capacity()
     }
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -1,4 +1,4 @@
-//! One connection of an initiator, and the session on it.
+//! Connection of an initiator and the session on it.
 mod command_table;
 mod payload;
 mod receive;
@@ -18,37 +18,37 @@
 use std::num::NonZeroU16;
 use transfer::{ReadTransfer, WriteTransfer};
 
-/// Initiator task tags of requests that are no SCSI commands. A command's tag is below all of them.
+/// Initiator task tags of requests other than SCSI commands. The tags of commands are smaller than all of these.
 mod reserved_itt {
-    /// Set in the tag of an ABORT TASK; the other bits are the tag of the command to abort.
+    /// Bit that is set in the tag of an ABORT TASK; the other bits are the tag of the command to abort.
     pub(super) const ABORT_TASK_BIT: u32 = 0x8000_0000;
-    /// A LOGICAL UNIT RESET.
+    /// Tag of a LOGICAL UNIT RESET.
     pub(super) const LOGICAL_UNIT_RESET: u32 = 0xfffe_ffff;
-    /// A logout request.
+    /// Tag of a logout request.
     pub(super) const LOGOUT: u32 = 0xfffd_ffff;
-    /// A text request.
+    /// Tag of a text request.
     pub(super) const TEXT: u32 = 0xfffc_ffff;
 }
 
-/// What a target's PDUs led to. A `tag` is the one that the caller gave the command.
+/// Event that results from the PDUs of a target. A `tag` is the one that the caller gave the command.
 #[derive(Debug, PartialEq, Eq)]
 pub enum InitiatorEvent {
     /// The login is complete: commands can be sent.
     LoggedIn,
-    /// A command ended with a status.
+    /// A command was completed with a status.
     CommandCompleted {
         /// Tag of the command.
         tag: u32,
-        /// SCSI status; CHECK CONDITION also where the target reported that it failed itself.
+        /// SCSI status. It is also CHECK CONDITION if the response code reports a failure of the target.
         status: u8,
-        /// Sense data, if there was any in fixed format.
+        /// Sense data, if the response had any in fixed format.
         sense: Option<Sense>,
-        /// The data that was read.
+        /// Data that was read.
         data: Vec<u8>,
-        /// When to retry, in units of 100 ms (RFC 7144, status qualifier), if the target said so.
+        /// Delay after which to retry, in units of 100 ms, if the target stated one in the status qualifier (RFC 7144).
         retry_after: Option<NonZeroU16>,
     },
-    /// The target rejected the PDU of a command and did not run it.
+    /// The target rejected the PDU of a command and did not execute the command.
     CommandRejected {
         /// Tag of the command.
         tag: u32,
@@ -60,21 +60,22 @@
         /// Tag of the command.
         tag: u32,
     },
-    /// The target asks for a logout.
+    /// The target requests a logout.
     LogoutRequested,
     /// The target answered the logout request.
     LoggedOut,
-    /// The answer to a text request.
+    /// The target answered a text request. Holds the text of the response.
     TextResponse(Vec<u8>),
 }
 
+/// Phase of a connection.
 enum Phase {
     Login(Box<InitiatorLogin>),
     FullFeature,
     LoggedOut,
 }
 
-/// One connection of an initiator. The caller moves bytes between it and a socket.
+/// Connection of an initiator. The caller transfers bytes between it and a socket.
 pub struct InitiatorConnection {
     phase: Phase,
     params: SessionParams,
@@ -87,7 +88,8 @@
 }
 
 impl InitiatorConnection {
-    /// Opens with a login request. `target` is none for a discovery session.
+    /// Returns a connection whose send buffer holds the first login request. `target` is `None` for a discovery
+    /// session.
     pub fn new(name: &str, target: Option<&str>, isid: [u8; 6], proposal: &ProposedParams) -> Self {
         let (login, bhs, data) = InitiatorLogin::start(name, target, isid, proposal);
         let mut send_buffer = SendBuffer::default();
@@ -106,28 +108,29 @@
         }
     }
 
-    /// The bytes to send.
+    /// Returns the buffer with the bytes to send.
     pub fn send_buffer(&mut self) -> &mut SendBuffer {
         &mut self.send_buffer
     }
 
-    /// The next event.
+    /// Removes and returns the next event.
     pub fn next_event(&mut self) -> Option<InitiatorEvent> {
         self.events.pop_front()
     }
 
-    /// Whether the session is in the full feature phase.
+    /// Returns whether the session is in the full feature phase.
     pub fn is_logged_in(&self) -> bool {
         matches!(self.phase, Phase::FullFeature)
     }
 
-    /// Whether the target's command window takes another command now.
+    /// Returns whether a command can be sent now: the session is logged in and the command window of the target is
+    /// open.
     pub fn can_send(&self) -> bool {
         self.is_logged_in() && self.sequence.is_window_open()
     }
 
-    /// Sends a command: up to `read_len` bytes are expected back, `write_data` goes out with it. Returns
-    /// false, and sends nothing, while the target's command window is closed.
+    /// Sends a command that reads up to `read_len` bytes or writes `write_data`. Returns false, and sends nothing,
+    /// if a command cannot be sent now.
     pub fn send_command(
         &mut self,
         tag: u32,
@@ -165,7 +168,8 @@
         true
     }
 
-    /// How much of a command's unsolicited data goes into the PDU of the command itself.
+    /// Returns how many bytes of the unsolicited data of a command are sent as immediate data, in the PDU of the
+    /// command.
     fn immediate_len(&self, unsolicited_len: usize) -> usize {
         if self.params.immediate_data {
             unsolicited_len.min(self.params.max_send_data_segment)
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Sends a command's unsent data up to an offset.
+    /// Sends the unsent data of a command up to the buffer offset `end`, in Data-Out PDUs.
     fn send_burst(&mut self, command: &mut InFlightCommand, transfer_tag: u32, end: usize) {
         let max_len = self.params.max_send_data_segment;
         let mut data_sn = 0;
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Whether any byte of a command has been written to the stream. False for one that is not in flight.
+    /// Returns whether any byte of a command has been written to the stream; false for a command that is not in flight.
     pub fn has_started_sending(&self, tag: u32) -> bool {
         let sent = self.send_buffer.sent_bytes();
         self.commands
@@ -200,7 +204,7 @@
             .any(|command| command.tag == tag && command.stream_offset < sent)
     }
 
-    /// Asks the target to abort a command. No completion is reported for it any more.
+    /// Requests that the target abort a command. Its completion is not reported from now on.
     pub fn abort_task(&mut self, tag: u32) {
         let Some(command) = self.commands.start_abort(tag) else {
             return;
@@ -219,7 +223,7 @@
         self.send_buffer.push(bhs, &[]);
     }
 
-    /// Resets a logical unit: the target answers none of its commands any more.
+    /// Requests a reset of a logical unit, after which the target does not answer commands that were in flight there.
     pub fn reset_logical_unit(&mut self, lun: u32) {
         let bhs = self
             .immediate_request(
@@ -232,19 +236,19 @@
         self.send_buffer.push(bhs, &[]);
     }
 
-    /// Asks the target to close the session.
+    /// Requests a logout, with which the target closes the session.
     pub fn send_logout_request(&mut self) {
         let bhs = self.immediate_request(opcode::LOGOUT_REQUEST, reserved_itt::LOGOUT);
         self.send_buffer.push(bhs, &[]);
     }
 
-    /// The header of a request for immediate delivery.
+    /// Returns the header of a request for immediate delivery.
     fn immediate_request(&self, opcode: u8, itt: u32) -> Bhs {
         let bhs = Bhs::new(opcode, flag::FINAL).with_immediate().with_itt(itt);
         self.sequence.number_immediate(bhs)
     }
 
-    /// Sends a text request of one PDU, such as `SendTargets=All`.
+    /// Sends a text request that fits one PDU, such as `SendTargets=All`.
     pub fn send_text_request(&mut self, data: &[u8]) {
         let bhs = Bhs::new(opcode::TEXT_REQUEST, flag::FINAL)
             .with_itt(reserved_itt::TEXT)
@@ -252,7 +256,7 @@
         self.send_buffer.push(self.sequence.number(bhs), data);
     }
 
-    /// Tags of the commands in flight that have not been aborted.
+    /// Returns the tags of the commands in flight, without those that were aborted.
     pub fn in_flight_tags(&self) -> impl Iterator<Item = u32> + '_ {
         self.commands
             .iter()
@@ -260,18 +264,19 @@
             .map(|command| command.tag)
     }
 
-    /// Number of commands in flight, with those aborted that the target has not confirmed.
+    /// Returns the number of commands in flight, including aborted ones for which the target has not answered the ABORT
+    /// TASK.
     pub fn in_flight(&self) -> usize {
         self.commands.iter().count()
     }
 
-    /// Number of final responses that belonged to no command in flight: of a target that answers twice.
+    /// Returns the number of final responses received for commands that were not in flight, such as duplicate answers.
     pub fn unmatched_responses(&self) -> u64 {
         self.unmatched_responses
     }
 }
 
-/// The header of a SCSI command, without its tag and sequence numbers.
+/// Returns the header of a SCSI command, without tag and sequence numbers.
 fn command_header(
     lun: u32,
     cdb: &[u8; 16],
--- a/crates/iscsi/src/initiator/command_table.rs
+++ b/crates/iscsi/src/initiator/command_table.rs
@@ -1,26 +1,27 @@
-//! The commands of a connection that have no final answer yet, by their initiator task tags.
+//! Commands of a connection that have no final answer yet, by initiator task tag.
 use super::transfer::{ReadTransfer, WriteTransfer};
 
-/// Number of values that the upper half of a task tag takes in turn. Bit 31 stays clear, which marks task
-/// management requests.
+/// Number of values through which the upper half of a task tag cycles. It leaves bit 31 clear, which marks ABORT TASK
+/// requests.
 const TAG_CYCLE: u16 = 0x7fff;
-/// The lower half of a task tag: the command's index in the table.
+/// Lower half of a task tag, which holds the index of the command in the table.
 const INDEX_BITS: u32 = 0xffff;
 
-/// A command that was sent.
+/// Command that was sent and has no final answer yet.
 pub(super) struct InFlightCommand {
-    /// The caller's tag.
+    /// Tag that the caller gave the command.
     pub tag: u32,
     pub itt: u32,
     pub lun: u32,
     pub read: ReadTransfer,
     pub write: WriteTransfer,
-    /// Offset in the stream of the command's first byte.
+    /// Stream offset of the first byte of the command.
     pub stream_offset: u64,
-    /// Whether an ABORT TASK was sent. The command stays until that is answered: only then is it over.
+    /// Whether an ABORT TASK was sent for the command. The command stays in the table until that request is answered.
     pub aborted: bool,
 }
 
+/// Commands in flight, indexed by the lower half of their task tags.
 #[derive(Default)]
 pub(super) struct CommandTable {
     slots: Vec<Option<InFlightCommand>>,
@@ -28,8 +29,8 @@
 }
 
 impl CommandTable {
-    /// Index of a free slot, and the task tag for the command to put there. A tag is not used again soon, so
-    /// that a late answer does not find another command.
+    /// Returns the index of a free slot and a task tag for the command to insert there. A task tag is not reused soon,
+    /// so that a late answer is not matched to another command.
     pub fn reserve(&mut self) -> (usize, u32) {
         let free = self.slots.iter().position(Option::is_none);
         let index = free.unwrap_or_else(|| {
@@ -40,7 +41,7 @@
         (index, (u32::from(self.tag_cycle) << 16) | index as u32)
     }
 
-    /// Puts a command into the slot that was reserved for it.
+    /// Inserts a command into the slot that was reserved for it.
     pub fn insert(&mut self, index: usize, command: InFlightCommand) {
         if let Some(slot) = self.slots.get_mut(index) {
             *slot = Some(command);
@@ -51,7 +52,7 @@
         self.slots.iter().flatten()
     }
 
-    /// The slot of the command with a task tag.
+    /// Returns the slot of the command with a task tag, if there is such a command.
     fn slot_mut(&mut self, itt: u32) -> Option<&mut Option<InFlightCommand>> {
         let slot = self.slots.get_mut((itt & INDEX_BITS) as usize)?;
         let is_found = slot.as_ref().is_some_and(|command| command.itt == itt);
@@ -66,12 +67,12 @@
         self.slot_mut(itt)?.take()
     }
 
-    /// Puts back a command that was removed for a moment.
+    /// Reinserts a command that was temporarily removed.
     pub fn restore(&mut self, command: InFlightCommand) {
         self.insert((command.itt & INDEX_BITS) as usize, command);
     }
 
-    /// Marks a command as aborted and drops its data; none if it is not in flight or already aborted.
+    /// Marks a command as aborted, drops its data and returns it; `None` if it is not in flight or already aborted.
     pub fn start_abort(&mut self, tag: u32) -> Option<&InFlightCommand> {
         let mut commands = self.slots.iter_mut().flatten();
         let command = commands.find(|command| command.tag == tag && !command.aborted)?;
--- a/crates/iscsi/src/initiator/payload.rs
+++ b/crates/iscsi/src/initiator/payload.rs
@@ -1,17 +1,17 @@
-//! The data of a write.
+//! Data of a write command.
 use std::rc::Rc;
 
-/// Data of a write, shared between all that may send it again.
+/// Data of a write command. Copies and slices share its memory, so that it can be sent more than once.
 #[derive(Clone, Debug, Default)]
 pub struct Payload {
-    /// None for no data: that of a read.
+    /// `None` if there is no data, as for a read.
     bytes: Option<Rc<Vec<u8>>>,
     start: usize,
     end: usize,
 }
 
 impl Payload {
-    /// A part of it that shares its memory: `len` bytes from `offset` on.
+    /// Returns the `len` bytes of the data from `offset` on, which share its memory.
     #[must_use]
     pub fn slice(&self, offset: usize, len: usize) -> Payload {
         let start = self.start + offset;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The data itself.
+    /// Returns the data.
     pub fn bytes(&self) -> &[u8] {
         self.bytes
             .as_ref()
--- a/crates/iscsi/src/initiator/receive.rs
+++ b/crates/iscsi/src/initiator/receive.rs
@@ -1,22 +1,22 @@
-//! What an initiator does with the target's PDUs.
+//! Handling of the PDUs that an initiator receives.
 use super::{InitiatorConnection, InitiatorEvent, Phase, reserved_itt};
 use crate::error::ProtocolError;
 use crate::pdu::{Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode};
 use crate::scsi::{Sense, status};
 use std::num::NonZeroU16;
 
-/// The lower 14 bits of the status qualifier; the upper two are its scope (SAM-5, 5.3.2).
+/// Lower 14 bits of the status qualifier, which hold its value; the upper two hold its scope (SAM-5, 5.3.2).
 const QUALIFIER_BITS: u16 = 0x3fff;
-/// Bytes of the length in front of sense data (section 11.4.7).
+/// Size of the length field before sense data, in bytes (section 11.4.7).
 const SENSE_LENGTH_FIELD: usize = 2;
-/// Offset in a rejected header of its initiator task tag.
+/// Offset of the initiator task tag in the header of a rejected PDU.
 const ITT_OFFSET: usize = 16;
 
 impl InitiatorConnection {
-    /// Takes bytes as they come from the stream, in pieces of any size.
+    /// Processes bytes received from the stream, in pieces of any size.
     ///
     /// # Errors
-    /// The target violated the protocol, or rejected the login; the connection is to be closed.
+    /// Fails if the target violated the protocol or rejected the login; the connection is then to be closed.
     pub fn receive(&mut self, mut input: &[u8]) -> Result<(), ProtocolError> {
         while !input.is_empty() {
             match self.decoder.decode(&mut input)? {
@@ -97,7 +97,8 @@
             .data
             .get(SENSE_LENGTH_FIELD..)
             .and_then(Sense::from_fixed_format);
-        // Any response but "completed at target" says that the target failed, whatever the status is.
+        // Response codes other than "command completed at target" report a failure of the target; the status is then
+        // ignored.
         let status = if pdu.bhs.response() == 0 {
             pdu.bhs.status()
         } else {
@@ -106,6 +107,7 @@
         self.complete(pdu.bhs.itt(), status, sense, self.retry_after(&pdu.bhs));
     }
 
+    /// Returns the retry delay in the status qualifier of a response, in units of 100 ms; `None` if it states none.
     fn retry_after(&self, bhs: &Bhs) -> Option<NonZeroU16> {
         if !self.params.has_status_qualifier() {
             return None;
@@ -114,7 +116,8 @@
         (qualifier.get() <= MAX_RETRY_AFTER).then_some(qualifier)
     }
 
-    /// Reports a command's end. One that is aborted stays until its task management response.
+    /// Reports the completion of a command. Does nothing for an aborted command, which ends with the response to its
+    /// ABORT TASK.
     fn complete(
         &mut self,
         itt: u32,
@@ -186,7 +189,7 @@
         Ok(())
     }
 
-    /// The data of a Reject is the header of what was rejected.
+    /// Handles a Reject, whose data is the header of the rejected PDU.
     fn on_reject(&mut self, pdu: &Pdu) {
         let Some(itt) = pdu.data.get(ITT_OFFSET..ITT_OFFSET + 4) else {
             return;
--- a/crates/iscsi/src/initiator/transfer.rs
+++ b/crates/iscsi/src/initiator/transfer.rs
@@ -1,12 +1,12 @@
-//! The data of one command at its initiator.
+//! Data transfer of a command at its initiator.
 use super::Payload;
 use crate::error::ProtocolError;
 use crate::pdu::Bhs;
 
-/// The data that a command reads.
+/// Data that a command reads.
 pub(super) struct ReadTransfer {
     data: Vec<u8>,
-    /// Bytes expected in all.
+    /// Total number of bytes expected.
     expected_len: usize,
 }
 
@@ -18,10 +18,10 @@
         }
     }
 
-    /// Takes the data of a Data-In PDU.
+    /// Appends the data of a Data-In PDU.
     ///
     /// # Errors
-    /// It is not the data that comes next, or more than was expected.
+    /// Fails if the data is not the data that comes next, or exceeds the expected length.
     pub(super) fn receive(&mut self, bhs: &Bhs, data: Vec<u8>) -> Result<(), ProtocolError> {
         let received = self.data.len();
         let is_next = bhs.buffer_offset() as usize == received;
@@ -32,7 +32,7 @@
             });
         }
         if received == 0 && data.len() == self.expected_len {
-            // The usual case, all data in one PDU: its buffer is handed on without a copy.
+            // In the usual case all data is in one PDU, whose buffer is kept without a copy.
             self.data = data;
             return Ok(());
         }
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Drops what was received: nobody takes it any more.
+    /// Drops the data received so far, which is no longer needed.
     pub(super) fn discard(&mut self) {
         self.data = Vec::new();
     }
@@ -53,28 +53,30 @@
     }
 }
 
-/// The data that a command writes.
+/// Data that a command writes.
 pub(super) struct WriteTransfer {
     data: Payload,
-    /// Bytes sent so far.
+    /// Number of bytes sent so far.
     sent: usize,
 }
 
-/// A part of a command's data, for one Data-Out PDU.
+/// Part of the data of a command, for one Data-Out PDU.
 pub(super) struct Segment<'a> {
+    /// Buffer offset of the first byte.
     pub(super) offset: usize,
     pub(super) bytes: &'a [u8],
-    /// Whether it ends its burst.
+    /// Whether the segment is the last of its burst.
     pub(super) is_last: bool,
 }
 
 impl WriteTransfer {
-    /// Of data whose first `sent` bytes go out with the command itself.
+    /// Returns the transfer of `data`, of which the first `sent` bytes are sent with the command itself.
     pub(super) fn new(data: Payload, sent: usize) -> Self {
         WriteTransfer { data, sent }
     }
 
-    /// The next part of a burst that ends at an offset, of `max_len` bytes at most. None: all of it was sent.
+    /// Returns the next segment, of up to `max_len` bytes, of a burst that ends at buffer offset `end`; `None` if all
+    /// of the burst has been sent.
     pub(super) fn next_segment(&mut self, end: usize, max_len: usize) -> Option<Segment<'_>> {
         let offset = self.sent;
         let len = end.checked_sub(offset)?.min(max_len);
@@ -90,10 +92,10 @@
         })
     }
 
-    /// The offset at which a burst ends that an R2T asks for.
+    /// Returns the buffer offset at which the burst that an R2T requests ends.
     ///
     /// # Errors
-    /// It asks for no data, or for other data than the next.
+    /// Fails if the R2T requests no data, or data other than that which comes next.
     pub(super) fn burst_end(&self, r2t: &Bhs) -> Result<usize, ProtocolError> {
         let offset = r2t.buffer_offset() as usize;
         let len = r2t.desired_data_len() as usize;
@@ -107,7 +109,7 @@
         Ok(offset + len)
     }
 
-    /// Drops the data: nothing more of it is sent.
+    /// Drops the data, of which nothing more is to be sent.
     pub(super) fn discard(&mut self) {
         self.data = Payload::default();
     }
--- a/crates/iscsi/src/lib.rs
+++ b/crates/iscsi/src/lib.rs
@@ -1,15 +1,15 @@
 //! iSCSI (RFC 7143, with the status qualifier of RFC 7144) and the SCSI commands of a block device.
 //!
-//! Nothing here reads a socket or a clock: the caller passes in the bytes that it received and takes out
-//! events, and the bytes to send. Both sides are here, since the gateway is a target to its clients and an
-//! initiator to its storage nodes:
+//! This package reads neither sockets nor clocks: the caller passes in received bytes, and gets events and the
+//! bytes to send. It implements both sides, since the gateway is a target to its clients and an initiator to
+//! its storage nodes:
 //!
-//! * [`target::TargetConnection`] and [`initiator::InitiatorConnection`] are one connection each, with the
-//!   session on it. Sessions have one connection and error recovery level 0.
-//! * [`login`] and [`params`] negotiate a session; [`frame`] and [`pdu`] are its PDUs as bytes.
-//! * [`scsi`] has the command descriptor blocks, sense data and parameter data (SPC-4, SBC-3).
+//! * [`target::TargetConnection`] and [`initiator::InitiatorConnection`] each hold one connection and its
+//!   session. Sessions have a single connection and error recovery level 0.
+//! * [`login`] and [`params`] negotiate a session; [`frame`] and [`pdu`] encode and decode its PDUs.
+//! * [`scsi`] encodes and decodes command descriptor blocks, sense data and parameter data (SPC-4, SBC-3).
 //!
-//! An initiator logs in to a target and reads a block, without a network in between:
+//! Example: an initiator logs in to a target and reads a block, without a network in between.
 //!
 //! ```
 //! use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -1,4 +1,4 @@
-//! The login phase, both sides (sections 6.3, 11.12 and 11.13).
+//! Login phase of both sides (sections 6.3, 11.12 and 11.13).
 mod initiator;
 mod target;
 
@@ -10,47 +10,47 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Stages of a login, as CSG and NSG name them (section 11.12.3).
+/// Stages of a login: values of the CSG and NSG fields (section 11.12.3).
 mod stage {
-    /// Negotiation of operational parameters.
+    /// Stage in which operational parameters are negotiated.
     pub(super) const OPERATIONAL: u8 = 1;
-    /// A value that the standard reserves.
+    /// Value that the standard reserves.
     pub(super) const RESERVED: u8 = 2;
-    /// Commands can be sent.
+    /// Full feature phase, in which commands can be sent.
     pub(super) const FULL_FEATURE: u8 = 3;
 }
 
-/// Who logs in to what, by the first login request.
+/// Initiator, target and session of a login, as stated in its first request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoginIdentity {
     /// `InitiatorName`.
     pub initiator: String,
-    /// `TargetName`; none in a discovery session that names no target.
+    /// `TargetName`; `None` in a discovery session that names no target.
     pub target: Option<String>,
     /// Whether `SessionType` is Discovery.
     pub discovery: bool,
-    /// Initiator session identifier.
+    /// Initiator session identifier (ISID).
     pub isid: [u8; 6],
-    /// Target session identifying handle; 0 for a new session.
+    /// Target session identifying handle (TSIH); 0 for a new session.
     pub tsih: u16,
 }
 
 /// Status class and detail of a login response (section 11.13.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoginStatus {
-    /// 0 for success, 2 for an error of the initiator, 3 for one of the target.
+    /// Status class: 0 for success, 2 for an initiator error, 3 for a target error.
     pub class: u8,
-    /// Which error of its class.
+    /// Status detail, which identifies the error within its class.
     pub detail: u8,
 }
 
 impl LoginStatus {
-    /// Initiator error: something else is wrong with the request.
+    /// Initiator error that no other status describes.
     pub const INITIATOR_ERROR: LoginStatus = LoginStatus {
         class: 2,
         detail: 0,
     };
-    /// Authentication failure: the target does not support any method that was offered.
+    /// Authentication failure: the target supports none of the offered methods.
     pub const AUTHENTICATION: LoginStatus = LoginStatus {
         class: 2,
         detail: 1,
@@ -60,22 +60,22 @@
         class: 2,
         detail: 3,
     };
-    /// The target does not support the versions in the request.
+    /// The target does not support the protocol versions in the request.
     pub const VERSION: LoginStatus = LoginStatus {
         class: 2,
         detail: 5,
     };
-    /// Missing parameter, such as a name.
+    /// The request lacks a required parameter, such as a name.
     pub const MISSING: LoginStatus = LoginStatus {
         class: 2,
         detail: 7,
     };
-    /// The session that the TSIH names does not exist.
+    /// The session that the TSIH identifies does not exist.
     pub const NO_SESSION: LoginStatus = LoginStatus {
         class: 2,
         detail: 10,
     };
-    /// The request is invalid in the present stage of the login.
+    /// The request is invalid in the current stage of the login.
     pub const INVALID: LoginStatus = LoginStatus {
         class: 2,
         detail: 11,
@@ -98,34 +98,34 @@
     }
 }
 
-/// Decides at a target which logins are admitted.
+/// Policy of a target that decides which logins are admitted.
 pub trait LoginPolicy {
-    /// Admits a login; returns the session's handle (TSIH, never 0).
+    /// Admits a login and returns the handle of its session (TSIH, never 0).
     ///
     /// # Errors
-    /// The status to reject the login with.
+    /// Returns the status with which to reject the login.
     fn admit(&mut self, identity: &LoginIdentity) -> Result<u16, LoginStatus>;
 }
 
-/// Why a target rejects a login.
+/// Reason for which a target rejects a login.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LoginError {
     /// The initiator does not support version 0 of the protocol.
     #[error("expected a version range with 0 in it")]
     Version,
-    /// A request that ends its stage announces more text.
+    /// A request that ends its stage also announces more text.
     #[error("transit and continue bits both set")]
     TransitAndContinue,
-    /// The request is for another stage.
+    /// The request is for a stage other than the current one.
     #[error("stage is not the one this login is in")]
     WrongStage,
-    /// The next stage is reserved, or not behind the present one.
+    /// The next stage is reserved or does not come after the current one.
     #[error("next stage does not follow the present one")]
     WrongNextStage,
-    /// A text in several requests is too long.
+    /// The login text, which may span several requests, is too long.
     #[error("login text past 16 KiB")]
     TextTooLong,
-    /// The text is malformed.
+    /// The login text is malformed.
     #[error(transparent)]
     Text(#[from] TextError),
     /// The first request has no `InitiatorName`.
@@ -139,10 +139,10 @@
     NotAdmitted {
         /// `InitiatorName`.
         initiator: String,
-        /// The policy's status.
+        /// Status that the login policy returned.
         status: LoginStatus,
     },
-    /// The initiator insists on authentication.
+    /// The initiator requires authentication.
     #[error("AuthMethod: expected None among them")]
     AuthenticationRequired,
     /// An operational parameter is invalid.
@@ -151,7 +151,7 @@
 }
 
 impl LoginError {
-    /// The status that the login response carries.
+    /// Returns the status for the login response.
     pub fn status(&self) -> LoginStatus {
         match self {
             LoginError::Version => LoginStatus::VERSION,
--- a/crates/iscsi/src/login/initiator.rs
+++ b/crates/iscsi/src/login/initiator.rs
@@ -1,26 +1,26 @@
-//! An initiator's side of one login: it negotiates operational parameters at once, without authentication.
+//! Initiator side of a login, which starts with the negotiation of operational parameters, without authentication.
 use super::{LoginStatus, stage};
 use crate::error::ProtocolError;
 use crate::params::{ProposedParams, SessionParams};
 use crate::pdu::{Bhs, Pdu, flag, opcode};
 use crate::text;
 
-/// Most requests behind the first.
+/// Maximum number of login requests after the first.
 const MAX_FURTHER_REQUESTS: u32 = 8;
-/// Every request asks to go on from operational negotiation to the full feature phase.
+/// Flags of every login request: a transition from operational negotiation to the full feature phase.
 const REQUEST_FLAGS: u8 = flag::FINAL | stage::OPERATIONAL << 2 | stage::FULL_FEATURE;
 
-/// The state of a login at its initiator.
+/// State of a login at its initiator.
 pub(crate) struct InitiatorLogin {
-    /// What has been negotiated so far.
+    /// Parameters negotiated so far.
     pub params: SessionParams,
     isid: [u8; 6],
     further_requests: u32,
 }
 
 impl InitiatorLogin {
-    /// Begins a login; returns the header and the text of the first request. `target` is none for a discovery
-    /// session.
+    /// Starts a login and returns it with the header and text of its first request. `target` is `None` for a
+    /// discovery session.
     pub fn start(
         name: &str,
         target: Option<&str>,
@@ -54,7 +54,7 @@
             .with_itt(0)
     }
 
-    /// Takes a response; returns the header of the next request, or none once logged in.
+    /// Processes a login response. Returns the header of the next request, or `None` if the login is complete.
     pub fn on_response(&mut self, pdu: &Pdu) -> Result<Option<Bhs>, ProtocolError> {
         let bhs = &pdu.bhs;
         if bhs.opcode() != opcode::LOGIN_RESPONSE {
--- a/crates/iscsi/src/login/target.rs
+++ b/crates/iscsi/src/login/target.rs
@@ -1,56 +1,59 @@
-//! A target's side of one login.
+//! Target side of a login.
 use super::{LoginError, LoginIdentity, LoginPolicy, stage};
 use crate::params::{ProposedParams, SessionParams};
 use crate::pdu::{Bhs, Pdu, flag, opcode};
 use crate::text;
 
-/// Most bytes of a text that is split over several requests (C bit); the keys of section 13 take under 2 KiB.
+/// Maximum length of a login text that spans several requests (C bit), in bytes. The keys of section 13 need less
+/// than 2 KiB.
 const MAX_TEXT_LEN: usize = 16 * 1024;
-/// The bits of byte 1 that hold the current stage.
+/// Bits of byte 1 that hold the current stage (CSG).
 const CURRENT_STAGE_BITS: u8 = 0x0c;
 
-/// The state of a login at its target.
+/// State of a login at its target.
 #[derive(Default)]
 pub(crate) struct TargetLogin {
-    /// What has been negotiated so far.
+    /// Parameters negotiated so far.
     pub params: SessionParams,
     proposal: ProposedParams,
-    /// Known from the end of the first request on.
+    /// Admitted login, set once the text of the first request is complete.
     admitted: Option<AdmittedLogin>,
     stage: u8,
     portal_group_sent: bool,
-    /// Text of requests that are to be continued.
+    /// Text of the requests so far whose text continues in the next request.
     text: Vec<u8>,
 }
 
-/// A login that the policy has admitted.
+/// Login that the policy has admitted.
 struct AdmittedLogin {
     identity: LoginIdentity,
-    /// Handle of its session.
+    /// Handle of the session (TSIH).
     tsih: u16,
 }
 
-/// The response to a login request, and how the login stands behind it.
+/// Response to a login request, with the resulting state of the login.
 pub(crate) struct LoginReply {
-    /// Header of the response, without its sequence numbers.
+    /// Header of the response, without sequence numbers.
     pub bhs: Bhs,
     pub data: Vec<u8>,
     pub outcome: LoginOutcome,
 }
 
+/// State of a login after a request.
 pub(crate) enum LoginOutcome {
+    /// The login needs further requests.
     InProgress,
-    /// Logged in: once the response is sent, the negotiated parameters hold.
+    /// The login is complete: the negotiated parameters apply after the response.
     Completed(LoginIdentity),
-    /// Rejected: once the response is sent, the connection closes.
+    /// The login is rejected: the connection is closed after the response is sent.
     Rejected(LoginError),
 }
 
-/// The fields of a login request's flags (section 11.12).
+/// Fields in the flags of a login request (section 11.12).
 struct Stages {
-    /// Whether the initiator asks to leave the current stage (T bit).
+    /// Whether the initiator requests a transition to the next stage (T bit).
     transit: bool,
-    /// Whether the text goes on in the next request (C bit).
+    /// Whether the text continues in the next request (C bit).
     to_be_continued: bool,
     current: u8,
     next: u8,
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Takes a login request.
+    /// Processes a login request and returns the response to it.
     pub fn on_request(&mut self, pdu: &Pdu, policy: &mut dyn LoginPolicy) -> LoginReply {
         self.try_request(pdu, policy).unwrap_or_else(|error| {
             let status = error.status();
@@ -129,7 +132,7 @@
         Ok(self.reply(pdu, &stages, data, identity))
     }
 
-    /// Asks the policy at the end of the first request.
+    /// Asks the policy to admit the login, once the text of the first request is complete.
     fn admit(
         &mut self,
         bhs: &Bhs,
@@ -167,7 +170,7 @@
         Ok(())
     }
 
-    /// The text that answers the keys of one request.
+    /// Returns the text that answers the keys of a request.
     fn answer_keys(
         &mut self,
         pairs: &[(&str, &str)],
@@ -219,7 +222,7 @@
     }
 }
 
-/// Reads from the first request who logs in.
+/// Reads the identity of a login from its first request.
 fn identify(bhs: &Bhs, pairs: &[(&str, &str)]) -> Result<LoginIdentity, LoginError> {
     let find = |key| pairs.iter().find(|pair| pair.0 == key).map(|pair| pair.1);
     let initiator = find("InitiatorName")
--- a/crates/iscsi/src/params.rs
+++ b/crates/iscsi/src/params.rs
@@ -1,4 +1,4 @@
-//! Operational parameters and how they are negotiated (section 13).
+//! Negotiation of operational parameters (section 13).
 mod value;
 
 pub use value::ExpectedValue;
@@ -11,9 +11,9 @@
     select_digest,
 };
 
-/// `MaxRecvDataSegmentLength` of a side that has not declared one, in bytes (section 13.12).
+/// `MaxRecvDataSegmentLength` that applies until a side declares its own, in bytes (section 13.12).
 pub(crate) const DEFAULT_MAX_RECV_DATA_SEGMENT: usize = 8192;
-/// Largest `DefaultTime2Wait` and `DefaultTime2Retain` in seconds (sections 13.15 and 13.16).
+/// Largest `DefaultTime2Wait` and `DefaultTime2Retain`, in seconds (sections 13.15 and 13.16).
 const MAX_TIME: u16 = 3600;
 /// Largest `MaxConnections` and `MaxOutstandingR2T` (sections 13.2 and 13.17).
 const MAX_COUNT: u16 = 65_535;
@@ -21,16 +21,16 @@
 const MAX_ERROR_RECOVERY_LEVEL: u16 = 2;
 /// Largest `iSCSIProtocolLevel` (RFC 7144).
 const MAX_PROTOCOL_LEVEL: u16 = 31;
-/// `iSCSIProtocolLevel` from which on responses carry a status qualifier (RFC 7144).
+/// Lowest `iSCSIProtocolLevel` at which responses carry a status qualifier (RFC 7144).
 const STATUS_QUALIFIER_LEVEL: u8 = 2;
 
-/// What holds on a connection once its login is complete. Lengths are in bytes, times in seconds.
+/// Parameters in effect on a connection once its login is complete. Lengths are in bytes, times in seconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SessionParams {
     pub digests: Digests,
-    /// Longest data segment that this side accepts.
+    /// Maximum length of a data segment that this side accepts.
     pub max_recv_data_segment: usize,
-    /// Longest data segment that the other side accepts.
+    /// Maximum length of a data segment that the peer accepts.
     pub max_send_data_segment: usize,
     pub initial_r2t: bool,
     pub immediate_data: bool,
@@ -59,16 +59,17 @@
     }
 }
 
-/// What one side proposes in the negotiation of a session. Lengths are in bytes.
+/// Parameters that one side proposes in the negotiation of a session. Lengths are in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct ProposedParams {
-    /// Digests to ask for. A target accepts those that an initiator insists on, too.
+    /// Digests to request. A target also accepts digests that it does not propose, if an initiator prefers or
+    /// requires them.
     pub digests: Digests,
-    /// `MaxRecvDataSegmentLength`: the longest data segment that this side accepts.
+    /// `MaxRecvDataSegmentLength`: the maximum length of a data segment that this side accepts.
     pub max_recv_data_segment: usize,
-    /// `MaxBurstLength`: the longest run of data that one R2T asks for.
+    /// `MaxBurstLength`: the maximum length of data that one R2T requests.
     pub max_burst_len: usize,
-    /// `FirstBurstLength`: the most data that an initiator sends without an R2T.
+    /// `FirstBurstLength`: the maximum length of data that an initiator sends for a command without an R2T.
     pub first_burst_len: usize,
 }
 
@@ -83,15 +84,15 @@
     }
 }
 
-/// A key whose value is invalid.
+/// Error for a key whose value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}={value}: {expected}")]
 pub struct ParamError {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// Its value.
+    /// Value that was received.
     pub value: String,
-    /// What would have been valid.
+    /// Values that are valid for the key.
     pub expected: ExpectedValue,
 }
 
@@ -106,7 +107,7 @@
 }
 
 impl SessionParams {
-    /// What holds at the start of a login, by the proposal of this side.
+    /// Returns the parameters in effect at the start of a login, given the proposal of this side.
     pub fn before_negotiation(proposal: &ProposedParams) -> Self {
         SessionParams {
             max_recv_data_segment: proposal.max_recv_data_segment,
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Whether responses carry a status qualifier.
+    /// Returns whether responses carry a status qualifier.
     pub fn has_status_qualifier(&self) -> bool {
         self.protocol_level >= STATUS_QUALIFIER_LEVEL
     }
 
-    /// At a target: takes one key of the initiator and appends the answer, if the key has one. Keys of login
-    /// itself (names, session type, authentication) are the caller's.
+    /// Processes one key of the initiator at a target, and appends the answer if the key has one. Keys of the login
+    /// itself (names, session type, authentication) are left to the caller.
     pub fn answer(
         &mut self,
         proposal: &ProposedParams,
@@ -137,8 +138,8 @@
         Ok(())
     }
 
-    /// Takes one key and returns its answer; none for a key that is only declared. Longer than other functions, as it
-    /// has one arm for each key.
+    /// Processes one key and returns its answer, or `None` for a key that is only declared. The function is longer
+    /// than others because it has one match arm for each key.
     fn negotiate(
         &mut self,
         proposal: &ProposedParams,
@@ -186,6 +187,7 @@
         Ok(Some(answer))
     }
 
+    /// Negotiates `MaxBurstLength`, and lowers `FirstBurstLength` to it if necessary.
     fn negotiate_max_burst(
         &mut self,
         proposal: &ProposedParams,
@@ -196,7 +198,7 @@
         Ok(self.max_burst_len)
     }
 
-    /// The first burst is at most as long as any other (section 13.14).
+    /// Negotiates `FirstBurstLength`, which must not exceed `MaxBurstLength` (section 13.14).
     fn negotiate_first_burst(
         &mut self,
         proposal: &ProposedParams,
@@ -207,7 +209,7 @@
         Ok(self.first_burst_len)
     }
 
-    /// At an initiator: appends the proposal.
+    /// Appends the keys that an initiator proposes.
     pub fn offer(proposal: &ProposedParams, out: &mut Vec<u8>) {
         let digest_list = |wanted| if wanted { "CRC32C,None" } else { "None,CRC32C" };
         text::push_pair(out, "HeaderDigest", digest_list(proposal.digests.header));
@@ -233,7 +235,7 @@
         text::push_pair(out, "iSCSIProtocolLevel", "2");
     }
 
-    /// At an initiator: takes one key of the target's answer.
+    /// Applies one key of the target's answer at an initiator.
     pub fn accept_answer(&mut self, key: &str, value: &str) -> Result<(), ParamError> {
         if matches!(value, "NotUnderstood" | "Irrelevant") {
             return Ok(());
@@ -260,7 +262,7 @@
     }
 }
 
-/// A target's answer to keys of which it supports one value only.
+/// Returns a target's answer to a key of which it supports only one value, or to a key that it does not know.
 fn answer_fixed(key: &str, value: &str) -> Result<&'static str, ExpectedValue> {
     match key {
         "MaxConnections" | "MaxOutstandingR2T" => parse_number(value, MAX_COUNT).map(|_| "1"),
--- a/crates/iscsi/src/params/value.rs
+++ b/crates/iscsi/src/params/value.rs
@@ -1,22 +1,22 @@
-//! The values of operational parameters as text (section 6.1).
+//! Parsing and formatting of the values of operational parameters (section 6.1).
 use thiserror::Error;
 
-/// Values of the keys that are lengths in bytes (sections 13.12 to 13.14).
+/// Valid values of the keys that are lengths in bytes (sections 13.12 to 13.14).
 const LENGTH_RANGE: std::ops::RangeInclusive<usize> = 512..=0xff_ffff;
 
-/// The values that are valid for a key.
+/// Values that are valid for a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ExpectedValue {
-    /// A boolean.
+    /// `Yes` or `No`.
     #[error("expected Yes or No")]
     Boolean,
-    /// A length in bytes, decimal or hexadecimal.
+    /// Length in bytes, in decimal or hexadecimal notation.
     #[error("expected {} to {}", LENGTH_RANGE.start(), LENGTH_RANGE.end())]
     Length,
-    /// A number from 0 to this one.
+    /// Number from 0 up to and including the one that the variant holds.
     #[error("expected 0 to {0}")]
     UpTo(u16),
-    /// A digest that is implemented here.
+    /// Supported digest: `CRC32C` or `None`.
     #[error("expected CRC32C or None")]
     Digest,
 }
@@ -51,7 +51,7 @@
         .ok_or(ExpectedValue::UpTo(max))
 }
 
-/// Parses the digest that a target selected.
+/// Parses the digest that a target has selected; returns whether it is CRC32C.
 pub(super) fn parse_digest(value: &str) -> Result<bool, ExpectedValue> {
     match value {
         "CRC32C" => Ok(true),
@@ -60,8 +60,9 @@
     }
 }
 
-/// Selects from an initiator's list, which is in its order of preference: a digest if either side prefers
-/// one, or the initiator accepts nothing else.
+/// Selects from an initiator's list of digests, which is in its order of preference. Returns whether CRC32C is
+/// selected: it is if the list has it and the target proposes it, the initiator prefers it, or the list does not
+/// have `None`.
 pub(super) fn select_digest(proposed: bool, list: &str) -> Result<bool, ExpectedValue> {
     let has_crc = list.split(',').any(|name| name == "CRC32C");
     let has_none = list.split(',').any(|name| name == "None");
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -1,7 +1,7 @@
 //! PDUs and the fields of their basic header segment (section 11).
 //!
-//! - `codes`: the codes in these fields.
-//! - `lun`: LUNs as bytes.
+//! - `codes`: the codes that the fields hold.
+//! - `lun`: encoding and decoding of LUNs.
 mod codes;
 mod lun;
 
@@ -11,11 +11,11 @@
 
 use lun::parse_lun;
 
-/// Bytes of a basic header segment.
+/// Length of a basic header segment, in bytes.
 pub const BHS_LEN: usize = 48;
-/// The reserved tag: of a PDU that belongs to no task, or of unsolicited data.
+/// Reserved tag of a PDU that belongs to no task, and of unsolicited data.
 pub const RESERVED_TAG: u32 = 0xffff_ffff;
-/// Largest status qualifier that is a time, in units of 100 ms; those above have other meanings (RFC 7144;
+/// Largest status qualifier that states a time, in units of 100 ms; larger values have other meanings (RFC 7144;
 /// SAM-5, 5.3.2).
 pub(crate) const MAX_RETRY_AFTER: u16 = 0x3fef;
 
@@ -24,13 +24,13 @@
 /// Bits of byte 0 that hold the opcode.
 const OPCODE_BITS: u8 = 0x3f;
 
-/// The basic header segment: the 48 bytes that open a PDU, with its fields by name.
+/// Basic header segment: the first 48 bytes of a PDU, with accessors for its fields.
 ///
 /// Which fields apply depends on the opcode; several fields of different PDUs share an offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bhs([u8; BHS_LEN]);
 
-/// Defines a reader and a setter for each 32-bit field, by its offset.
+/// Defines a getter and a setter for each 32-bit field, given its offset in the header.
 macro_rules! u32_fields {
     ($($(#[$doc:meta])* $offset:literal: $get:ident, $set:ident;)*) => {
         impl Bhs {
@@ -40,7 +40,7 @@
                     self.u32_at($offset)
                 }
 
-                /// Sets the field of this name.
+                /// Sets the field that the getter of the same name returns.
                 #[must_use]
                 pub fn $set(self, value: u32) -> Self {
                     self.with_u32($offset, value)
@@ -82,7 +82,7 @@
 }
 
 impl Bhs {
-    /// A header with an opcode and the flags of byte 1; all else is zero.
+    /// Returns a header with an opcode and the flags of byte 1; all other fields are zero.
     pub fn new(opcode: u8, flags: u8) -> Self {
         let mut bytes = [0; BHS_LEN];
         bytes[0] = opcode;
@@ -90,27 +90,27 @@
         Bhs(bytes)
     }
 
-    /// A header from its bytes in a stream.
+    /// Returns the header that consists of `bytes`.
     pub fn from_bytes(bytes: [u8; BHS_LEN]) -> Self {
         Bhs(bytes)
     }
 
-    /// All bytes of the header.
+    /// Returns the bytes of the header.
     pub fn as_bytes(&self) -> &[u8; BHS_LEN] {
         &self.0
     }
 
-    /// All bytes of the header, for fields that have no name here.
+    /// Returns the bytes of the header for writing, for fields without a setter.
     pub fn bytes_mut(&mut self) -> &mut [u8; BHS_LEN] {
         &mut self.0
     }
 
-    /// The opcode, without the immediate bit.
+    /// Returns the opcode, without the immediate bit.
     pub fn opcode(&self) -> u8 {
         self.0[0] & OPCODE_BITS
     }
 
-    /// Whether a request is for immediate delivery: it takes no `CmdSN` of its own.
+    /// Returns whether a request is for immediate delivery; such a request does not advance `CmdSN`.
     pub fn is_immediate(&self) -> bool {
         self.0[0] & IMMEDIATE_BIT != 0
     }
@@ -122,17 +122,17 @@
         self
     }
 
-    /// Byte 1; see [`flag`].
+    /// Returns byte 1, which holds the flags of [`flag`].
     pub fn flags(&self) -> u8 {
         self.0[1]
     }
 
-    /// Whether the final bit is set.
+    /// Returns whether the final bit is set.
     pub fn is_final(&self) -> bool {
         self.0[1] & flag::FINAL != 0
     }
 
-    /// The byte at an offset.
+    /// Returns the byte at an offset.
     pub fn byte(&self, offset: usize) -> u8 {
         self.0[offset]
     }
@@ -164,22 +164,22 @@
         self
     }
 
-    /// Bytes of additional header segments that follow.
+    /// Returns the length of the additional header segments that follow, in bytes.
     pub fn ahs_len(&self) -> usize {
         usize::from(self.0[4]) * 4
     }
 
-    /// Bytes of data that follow, without padding and digest.
+    /// Returns the length of the data segment, in bytes, without padding and digest.
     pub fn data_len(&self) -> usize {
         (usize::from(self.0[5]) << 16) | (usize::from(self.0[6]) << 8) | usize::from(self.0[7])
     }
 
-    /// Sets the data segment length in bytes.
+    /// Sets the length of the data segment, in bytes.
     pub(crate) fn set_data_len(&mut self, len: usize) {
         self.0[5..8].copy_from_slice(&(len as u32).to_be_bytes()[1..]);
     }
 
-    /// The LUN; none where its addressing method is unknown here.
+    /// Returns the LUN, or `None` if its addressing method is not supported.
     pub fn lun(&self) -> Option<u32> {
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&self.0[8..16]);
@@ -193,13 +193,13 @@
         self
     }
 
-    /// Copies the LUN field from another header, whatever it holds.
+    /// Copies the LUN field from another header, also if it holds no supported LUN.
     pub(crate) fn with_lun_of(mut self, other: &Bhs) -> Self {
         self.0[8..16].copy_from_slice(&other.0[8..16]);
         self
     }
 
-    /// Command descriptor block of a SCSI command.
+    /// Returns the command descriptor block of a SCSI command.
     pub fn cdb(&self) -> [u8; 16] {
         let mut cdb = [0; 16];
         cdb.copy_from_slice(&self.0[32..48]);
@@ -213,18 +213,18 @@
         self
     }
 
-    /// Response of a SCSI, logout or task management response; reason of a Reject.
+    /// Returns the response code of a SCSI, logout or task management response, or the reason of a Reject.
     pub fn response(&self) -> u8 {
         self.0[2]
     }
 
-    /// Sets the response or the reason.
+    /// Sets the response code, or the reason of a Reject.
     #[must_use]
     pub fn with_response(self, response: u8) -> Self {
         self.with_byte(2, response)
     }
 
-    /// SCSI status of a response or of the last Data-In.
+    /// Returns the SCSI status of a SCSI Response or of a Data-In with status.
     pub fn status(&self) -> u8 {
         self.0[3]
     }
@@ -235,7 +235,7 @@
         self.with_byte(3, status)
     }
 
-    /// Status qualifier of a SCSI response (RFC 7144).
+    /// Returns the status qualifier of a SCSI Response (RFC 7144).
     pub fn status_qualifier(&self) -> u16 {
         self.u16_at(8)
     }
@@ -246,26 +246,26 @@
         self.with_u16(8, qualifier)
     }
 
-    /// Version-min of a login request (section 11.12.4).
+    /// Returns Version-min, the lowest protocol version that a login request supports (section 11.12.4).
     pub(crate) fn version_min(&self) -> u8 {
         self.0[3]
     }
 
-    /// Initiator session identifier of a login PDU.
+    /// Returns the initiator session identifier (ISID) of a login PDU.
     pub fn isid(&self) -> [u8; 6] {
         let mut isid = [0; 6];
         isid.copy_from_slice(&self.0[8..14]);
         isid
     }
 
-    /// Sets the initiator session identifier.
+    /// Sets the initiator session identifier (ISID).
     #[must_use]
     pub fn with_isid(mut self, isid: [u8; 6]) -> Self {
         self.0[8..14].copy_from_slice(&isid);
         self
     }
 
-    /// Target session identifying handle of a login PDU.
+    /// Returns the target session identifying handle (TSIH) of a login PDU.
     pub(crate) fn tsih(&self) -> u16 {
         self.u16_at(14)
     }
@@ -274,12 +274,12 @@
         self.with_u16(14, tsih)
     }
 
-    /// Status class of a login response.
+    /// Returns the status class of a login response.
     pub(crate) fn login_status_class(&self) -> u8 {
         self.0[36]
     }
 
-    /// Status detail of a login response.
+    /// Returns the status detail of a login response.
     pub(crate) fn login_status_detail(&self) -> u8 {
         self.0[37]
     }
@@ -288,12 +288,12 @@
         self.with_byte(36, class).with_byte(37, detail)
     }
 
-    /// Event of an asynchronous message.
+    /// Returns the event (`AsyncEvent`) of an asynchronous message.
     pub(crate) fn async_event(&self) -> u8 {
         self.0[36]
     }
 
-    /// Sets the event of an asynchronous message and its third parameter.
+    /// Sets the event (`AsyncEvent`) and `Parameter3` of an asynchronous message.
     pub(crate) fn with_async_event(self, event: u8, parameter3: u16) -> Self {
         self.with_byte(36, event).with_u16(42, parameter3)
     }
@@ -304,16 +304,16 @@
     }
 }
 
-/// Whether serial number `a` is before `b` in serial number arithmetic (RFC 1982; section 4.2.2.1).
+/// Returns whether `a` is less than `b` in serial number arithmetic (RFC 1982; section 4.2.2.1).
 pub(crate) fn serial_before(a: u32, b: u32) -> bool {
     (a.wrapping_sub(b) as i32) < 0
 }
 
-/// A complete PDU. Additional header segments are skipped: no command here needs one.
+/// Complete PDU. Additional header segments are skipped, since no supported command needs one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pdu {
-    /// Its basic header segment.
+    /// Basic header segment of the PDU.
     pub bhs: Bhs,
-    /// Its data segment, without padding.
+    /// Data segment of the PDU, without padding.
     pub data: Vec<u8>,
 }
--- a/crates/iscsi/src/pdu/codes.rs
+++ b/crates/iscsi/src/pdu/codes.rs
@@ -1,4 +1,4 @@
-//! The codes in the fields of PDUs: opcodes, flags, functions, responses and reasons.
+//! Codes in the fields of PDUs: opcodes, flags, functions, responses, reasons and events.
 
 /// Opcodes (section 11.2.1.2).
 pub mod opcode {
@@ -39,25 +39,25 @@
     /// Reject.
     pub const REJECT: u8 = 0x3f;
 
-    /// Set in the opcodes that targets send.
+    /// Bit that is set in the opcodes that targets send.
     pub(crate) const TARGET_BIT: u8 = 0x20;
 }
 
 /// Bits of byte 1. Which of them apply depends on the opcode.
 pub mod flag {
-    /// The last PDU of its sequence; of a login, the transit bit.
+    /// Final bit: the PDU is the last of its sequence. In login PDUs, the transit bit.
     pub const FINAL: u8 = 0x80;
-    /// Text and login: the text goes on in the next PDU.
+    /// Continue bit of text and login PDUs: the text continues in the next PDU.
     pub const CONTINUE: u8 = 0x40;
-    /// SCSI Command: data is to be read.
+    /// SCSI Command: the command reads data.
     pub const READ: u8 = 0x40;
-    /// SCSI Command: data is written.
+    /// SCSI Command: the command writes data.
     pub const WRITE: u8 = 0x20;
-    /// Data-In: this PDU carries the command's status as well.
+    /// Data-In: the PDU also carries the status of the command.
     pub const STATUS: u8 = 0x01;
-    /// SCSI Response and Data-In: less data than the initiator expected.
+    /// SCSI Response and Data-In: less data was transferred than the initiator expected.
     pub const UNDERFLOW: u8 = 0x02;
-    /// SCSI Response and Data-In: more data than the initiator expected.
+    /// SCSI Response and Data-In: the command has more data than the initiator expected.
     pub const OVERFLOW: u8 = 0x04;
     /// SCSI Command: simple task attribute.
     pub const SIMPLE: u8 = 0x01;
@@ -71,15 +71,15 @@
     pub const PROTOCOL_ERROR: u8 = 0x04;
     /// The opcode is not supported.
     pub const COMMAND_NOT_SUPPORTED: u8 = 0x05;
-    /// Too many commands for immediate delivery.
+    /// Too many commands for immediate delivery are in flight.
     pub const IMMEDIATE_COMMAND_REJECT: u8 = 0x06;
 }
 
 /// Task management functions (section 11.5.1).
 pub mod task_function {
-    /// ABORT TASK: one task.
+    /// ABORT TASK: aborts one task.
     pub const ABORT_TASK: u8 = 1;
-    /// ABORT TASK SET: all tasks of this session at a logical unit.
+    /// ABORT TASK SET: aborts all tasks of the session at a logical unit.
     pub const ABORT_TASK_SET: u8 = 2;
     /// LOGICAL UNIT RESET.
     pub const LOGICAL_UNIT_RESET: u8 = 5;
@@ -103,10 +103,10 @@
 
 /// Events of an asynchronous message (section 11.9.1).
 pub(crate) mod async_event {
-    /// A SCSI event; its sense data is in the message.
+    /// SCSI event, whose sense data is in the message.
     pub const SCSI: u8 = 0;
-    /// The target asks for a logout.
+    /// The target requests a logout.
     pub const LOGOUT_REQUEST: u8 = 1;
-    /// The target asks for a negotiation of parameters.
+    /// The target requests a negotiation of parameters.
     pub const NEGOTIATION_REQUEST: u8 = 4;
 }
--- a/crates/iscsi/src/pdu/lun.rs
+++ b/crates/iscsi/src/pdu/lun.rs
@@ -1,12 +1,12 @@
-//! LUNs as the eight bytes of a PDU (SAM-5, 4.7).
+//! Encoding and decoding of LUNs as eight bytes (SAM-5, 4.7).
 
-/// First byte of a LUN by extended flat space addressing with 24 bits (SAM-5, 4.7.11).
+/// First byte of a LUN with extended flat space addressing of 24 bits (SAM-5, 4.7.11).
 const EXTENDED_FLAT: u8 = 0xd2;
-/// Bits of the first byte that name flat space addressing (SAM-5, 4.7).
+/// Bit of the first byte that selects flat space addressing (SAM-5, 4.7).
 const FLAT_SPACE: u8 = 0x40;
 
-/// Encodes a LUN of up to 24 bits in its eight bytes: by peripheral device addressing below 256, flat space
-/// below 16384, extended flat space above (SAM-5, 4.7).
+/// Encodes a LUN of up to 24 bits in eight bytes: with peripheral device addressing below 256, flat space
+/// addressing below 16384, and extended flat space addressing from there on (SAM-5, 4.7).
 pub fn lun_bytes(lun: u32) -> [u8; 8] {
     let mut bytes = [0; 8];
     match lun {
@@ -23,7 +23,7 @@
     bytes
 }
 
-/// Decodes a LUN of the three addressing methods of [`lun_bytes`].
+/// Decodes a LUN in one of the three addressing methods of [`lun_bytes`]; returns `None` for any other.
 pub(super) fn parse_lun(bytes: [u8; 8]) -> Option<u32> {
     if bytes[4..8].iter().any(|byte| *byte != 0) {
         return None;
--- a/crates/iscsi/src/scsi/cdb.rs
+++ b/crates/iscsi/src/scsi/cdb.rs
@@ -1,7 +1,8 @@
-//! Command descriptor blocks.
+//! Parsing and building of command descriptor blocks (CDBs).
 use super::{Sense, big_endian};
 
-/// Operation codes (SPC-4, 6; SBC-3, 5), with the length of the descriptor block where there are several.
+/// Operation codes (SPC-4, 6; SBC-3, 5). Names end with the length of the command descriptor block, in bytes, where
+/// a command has several forms.
 pub(super) mod operation {
     pub const TEST_UNIT_READY: u8 = 0x00;
     pub const REQUEST_SENSE: u8 = 0x03;
@@ -27,11 +28,11 @@
     pub const GET_LBA_STATUS: u8 = 0x12;
 }
 
-/// MODE SELECT: the data has the page format that the standard describes (PF bit).
+/// PF bit of MODE SELECT: the data consists of mode pages in the format of the standard.
 pub(super) const PAGE_FORMAT: u8 = 0x10;
-/// INQUIRY: a page of vital product data is requested (EVPD bit).
+/// EVPD bit of INQUIRY: a page of vital product data is requested.
 const VITAL_PRODUCT_DATA: u8 = 0x01;
-/// RDPROTECT or WRPROTECT: anything but zero asks for protection information.
+/// Bits of byte 1 that hold RDPROTECT or WRPROTECT; values other than zero request protection information.
 const PROTECT_BITS: u8 = 0xe0;
 /// Bits of a READ or WRITE that hold the group number.
 const GROUP_NUMBER_BITS: u8 = 0x1f;
@@ -39,41 +40,42 @@
 const PAGE_CODE_BITS: u8 = 0x3f;
 /// Bits of byte 1 that hold the service action.
 const SERVICE_ACTION_BITS: u8 = 0x1f;
-/// Most bytes of an answer to GET LBA STATUS, whatever allocation length is requested: bounds its memory.
+/// Maximum length of the answer to GET LBA STATUS, in bytes. Bounds the memory of the answer, whatever allocation
+/// length is requested.
 const MAX_LBA_STATUS_LEN: u32 = 1 << 20;
-/// Most bytes of any other answer with an allocation length of 32 bits, for the same reason.
+/// Maximum length of other answers with an allocation length of 32 bits, in bytes. Bounds their memory, whatever
+/// allocation length is requested.
 const MAX_ALLOCATION_LEN: u32 = 1 << 16;
 
-/// A command, as far as a block device serves it. Allocation lengths are in bytes, `lba` and `blocks` in
-/// blocks.
+/// Command that a block device supports. Allocation lengths are in bytes, `lba` and `blocks` in blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// TEST UNIT READY.
     TestUnitReady,
     /// REQUEST SENSE.
     RequestSense {
-        /// Most bytes of the answer.
+        /// Maximum length of the answer, in bytes.
         allocation_len: usize,
     },
     /// INQUIRY.
     Inquiry {
-        /// Page of vital product data; none for standard INQUIRY data.
+        /// Page of vital product data; `None` for standard INQUIRY data.
         page: Option<u8>,
-        /// Most bytes of the answer.
+        /// Maximum length of the answer, in bytes.
         allocation_len: usize,
     },
     /// REPORT LUNS.
     ReportLuns {
-        /// Which logical units to report.
+        /// SELECT REPORT field: which logical units to report.
         select_report: u8,
-        /// Most bytes of the answer.
+        /// Maximum length of the answer, in bytes.
         allocation_len: usize,
     },
     /// READ CAPACITY (10).
     ReadCapacity10,
     /// READ CAPACITY (16).
     ReadCapacity16 {
-        /// Most bytes of the answer.
+        /// Maximum length of the answer, in bytes.
         allocation_len: usize,
     },
     /// READ (10) or READ (16).
@@ -103,27 +105,27 @@
     },
     /// MODE SENSE (6) or MODE SENSE (10).
     ModeSense {
-        /// Which of the two, since their answers differ.
+        /// Form of the command, which determines the format of the answer.
         form: ModeSenseForm,
         /// Page code.
         page: u8,
-        /// Most bytes of the answer.
+        /// Maximum length of the answer, in bytes.
         allocation_len: usize,
     },
-    /// MODE SELECT (6) with pages in the standard's format; its data says what to change.
+    /// MODE SELECT (6) with mode pages in the format of the standard; the data of the command states the changes.
     ModeSelect,
-    /// UNMAP; its data lists the blocks to deallocate.
+    /// UNMAP; the data of the command lists the blocks to deallocate.
     Unmap,
     /// GET LBA STATUS.
     GetLbaStatus {
         /// First block.
         lba: u64,
-        /// Most bytes of the answer.
+        /// Maximum length of the answer, in bytes.
         allocation_len: usize,
     },
 }
 
-/// The two forms of MODE SENSE, by the length of their command descriptor block.
+/// Form of MODE SENSE, named after the length of its command descriptor block in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ModeSenseForm {
     /// MODE SENSE (6).
@@ -135,7 +137,7 @@
 /// Parses a command descriptor block.
 ///
 /// # Errors
-/// The sense data to answer the command with.
+/// Returns the sense data to answer the command with if the command or one of its fields is not supported.
 pub fn parse_cdb(cdb: &[u8; 16]) -> Result<Command, Sense> {
     let len_8 = usize::from(cdb[4]);
     let len_16 = usize::from(big_endian::u16(&cdb[7..]));
@@ -161,7 +163,7 @@
         operation::READ_CAPACITY_10 => Ok(Command::ReadCapacity10),
         operation::REPORT_LUNS => Ok(Command::ReportLuns {
             select_report: cdb[2],
-            allocation_len: capped(&cdb[6..], MAX_ALLOCATION_LEN),
+            allocation_len: bounded_allocation_len(&cdb[6..], MAX_ALLOCATION_LEN),
         }),
         operation::SERVICE_ACTION_IN_16 => parse_service_action(cdb),
         operation::READ_10 | operation::WRITE_10 | operation::SYNCHRONIZE_CACHE_10 => {
@@ -190,20 +192,20 @@
 fn parse_service_action(cdb: &[u8; 16]) -> Result<Command, Sense> {
     match cdb[1] & SERVICE_ACTION_BITS {
         service_action::GET_LBA_STATUS => {
-            let allocation_len = capped(&cdb[10..], MAX_LBA_STATUS_LEN);
+            let allocation_len = bounded_allocation_len(&cdb[10..], MAX_LBA_STATUS_LEN);
             Ok(Command::GetLbaStatus {
                 lba: big_endian::u64(&cdb[2..]),
                 allocation_len,
             })
         }
         service_action::READ_CAPACITY_16 => Ok(Command::ReadCapacity16 {
-            allocation_len: capped(&cdb[10..], MAX_ALLOCATION_LEN),
+            allocation_len: bounded_allocation_len(&cdb[10..], MAX_ALLOCATION_LEN),
         }),
         _ => Err(Sense::INVALID_OPERATION_CODE),
     }
 }
 
-/// The rest of a command that names a run of blocks.
+/// Parses the fields of a READ, WRITE or SYNCHRONIZE CACHE that do not depend on its form.
 fn parse_block_command(
     cdb: &[u8; 16],
     lba: u64,
@@ -235,12 +237,12 @@
     }
 }
 
-/// An allocation length of 32 bits, cut to `max`.
-fn capped(bytes: &[u8], max: u32) -> usize {
+/// Reads an allocation length of 32 bits and limits it to `max`.
+fn bounded_allocation_len(bytes: &[u8], max: u32) -> usize {
     big_endian::u32(bytes).min(max) as usize
 }
 
-/// Builds a READ (16), or a WRITE (16), with a group number of up to 31.
+/// Builds the command descriptor block of a READ (16) or WRITE (16), with a group number of up to 31.
 pub fn read_or_write_16(write: bool, lba: u64, blocks: u32, group_number: u8) -> [u8; 16] {
     let mut cdb = [0; 16];
     cdb[0] = if write {
--- a/crates/iscsi/src/scsi/logical_unit.rs
+++ b/crates/iscsi/src/scsi/logical_unit.rs
@@ -1,20 +1,20 @@
-//! What a logical unit reports of itself: INQUIRY, READ CAPACITY, MODE SENSE and REPORT LUNS; and its write
+//! Parameter data of a logical unit for INQUIRY, READ CAPACITY, MODE SENSE and REPORT LUNS, and software write
 //! protection by MODE SELECT.
 use super::cdb::{ModeSenseForm, PAGE_FORMAT, operation};
 use crate::pdu::lun_bytes;
 
-/// T10 vendor identification, of eight characters.
+/// T10 vendor identification (eight characters).
 const VENDOR: &str = "MALLOWSM";
-/// Product revision level, of four characters.
+/// Product revision level (four characters).
 const REVISION: &str = "0001";
-/// Bytes of standard INQUIRY data.
+/// Length of standard INQUIRY data, in bytes.
 const STANDARD_INQUIRY_LEN: usize = 96;
-/// Versions of SAM-5, SPC-4, SBC-3 and iSCSI, as standard INQUIRY data names them (SPC-4).
+/// Version descriptors in standard INQUIRY data for SAM-5, SPC-4, SBC-3 and iSCSI (SPC-4).
 const VERSION_DESCRIPTORS: [u16; 4] = [0x00a0, 0x0460, 0x04c0, 0x0960];
-/// Longest designator of a logical unit.
+/// Maximum length of the designator of a logical unit, in bytes.
 const MAX_DESIGNATOR_LEN: usize = 255;
 
-/// Pages of vital product data (SPC-4, 7.8; SBC-3, 6).
+/// Codes of vital product data pages (SPC-4, 7.8; SBC-3, 6).
 mod vpd_page {
     pub(super) const SUPPORTED_PAGES: u8 = 0x00;
     pub(super) const UNIT_SERIAL_NUMBER: u8 = 0x80;
@@ -23,45 +23,45 @@
     pub(super) const BLOCK_DEVICE_CHARACTERISTICS: u8 = 0xb1;
 }
 
-/// Mode pages (SPC-4, 7.5; SBC-3, 6).
+/// Codes of mode pages (SPC-4, 7.5; SBC-3, 6).
 mod mode_page {
     pub(super) const CACHING: u8 = 0x08;
     pub(super) const CONTROL: u8 = 0x0a;
     pub(super) const ALL: u8 = 0x3f;
 }
 
-/// Caching page. The write cache is off: a write is answered only once a storage node holds it.
+/// Caching mode page. The write cache is off, since a write is answered only after a storage node has stored it.
 const CACHING_PAGE: [u8; 20] = {
     let mut page = [0; 20];
     page[0] = mode_page::CACHING;
-    // Bytes behind this one.
+    // Page length: number of bytes after this one.
     page[1] = 18;
     page
 };
-/// Control page: commands may be reordered without restriction.
+/// Control mode page: commands may be reordered without restriction.
 const CONTROL_PAGE: [u8; 12] = [mode_page::CONTROL, 10, 0, 0x10, 0, 0, 0, 0, 0, 0, 0, 0];
-/// Software write protect, in byte 4 of the control page.
+/// Software write protect (SWP) bit in byte 4 of the control mode page.
 const SOFTWARE_WRITE_PROTECT: u8 = 0x08;
-/// Bytes in front of the pages in the data of MODE SENSE (6) and MODE SELECT (6).
+/// Length of the header before the mode pages in the data of MODE SENSE (6) and MODE SELECT (6), in bytes.
 const MODE_HEADER_6_LEN: usize = 4;
-/// Bytes in front of the pages in the data of MODE SENSE (10).
+/// Length of the header before the mode pages in the data of MODE SENSE (10), in bytes.
 const MODE_HEADER_10_LEN: usize = 8;
 
-/// What a logical unit reports of itself.
+/// Properties that a logical unit reports.
 pub struct LogicalUnit<'a> {
-    /// Number of blocks; at least one.
+    /// Number of blocks, at least one.
     pub blocks: u64,
-    /// Bytes of a block.
+    /// Size of a block, in bytes.
     pub block_size: u32,
-    /// Product identification; its first 16 characters are reported.
+    /// Product identification, of which the first 16 characters are reported.
     pub product: &'a str,
-    /// Serial number, by which an initiator tells one volume from another.
+    /// Serial number, by which initiators distinguish volumes.
     pub serial: &'a str,
-    /// Most blocks of one read or write.
+    /// Maximum number of blocks of one read or write.
     pub max_transfer_blocks: u32,
 }
 
-/// Appends `width` characters of printable ASCII, with blanks behind a shorter text.
+/// Appends `text` as `width` characters of printable ASCII: cut or padded with spaces, with `?` for each other byte.
 fn push_ascii(out: &mut Vec<u8>, text: &str, width: usize) {
     let printable = |byte| {
         if (0x20..0x7f).contains(&byte) {
@@ -75,7 +75,7 @@
 }
 
 impl LogicalUnit<'_> {
-    /// Standard INQUIRY data, or a page of vital product data; none for a page that is not supported.
+    /// Returns standard INQUIRY data or a page of vital product data; `None` for an unsupported page.
     pub fn inquiry(&self, page: Option<u8>) -> Option<Vec<u8>> {
         let Some(page) = page else {
             return Some(self.standard_inquiry());
@@ -101,7 +101,7 @@
     }
 
     fn standard_inquiry(&self) -> Vec<u8> {
-        // Direct access device, SPC-4, response format 2 with HISUP, additional length, CMDQUE.
+        // Direct access block device, SPC-4, response data format 2 with HISUP, additional length, CMDQUE.
         let mut out = vec![
             0x00,
             0x00,
@@ -123,7 +123,8 @@
         out
     }
 
-    /// One designator: T10 vendor identification, in ASCII, of the logical unit (SPC-4, 7.8).
+    /// Returns the device identification page body: one designator of the logical unit, in ASCII, which begins with the
+    /// T10 vendor identification (SPC-4, 7.8).
     fn device_identification(&self) -> Vec<u8> {
         let mut designator = Vec::new();
         push_ascii(&mut designator, VENDOR, 8);
@@ -134,7 +135,7 @@
         body
     }
 
-    /// Maximum and optimal transfer length (SBC-3).
+    /// Returns the block limits page body, with the maximum and optimal transfer lengths (SBC-3).
     fn block_limits(&self) -> Vec<u8> {
         let mut body = vec![0; 60];
         body[4..8].copy_from_slice(&self.max_transfer_blocks.to_be_bytes());
@@ -142,13 +143,13 @@
         body
     }
 
-    /// READ CAPACITY (10) data: the last block, or the largest number where it is beyond that.
+    /// Returns READ CAPACITY (10) data. The address of the last block is `u32::MAX` if it does not fit 32 bits.
     pub fn read_capacity_10(&self) -> Vec<u8> {
         let last = (self.blocks - 1).min(u64::from(u32::MAX)) as u32;
         [last.to_be_bytes(), self.block_size.to_be_bytes()].concat()
     }
 
-    /// READ CAPACITY (16) data.
+    /// Returns READ CAPACITY (16) data.
     pub fn read_capacity_16(&self) -> Vec<u8> {
         let mut out = (self.blocks - 1).to_be_bytes().to_vec();
         out.extend_from_slice(&self.block_size.to_be_bytes());
@@ -156,8 +157,8 @@
         out
     }
 
-    /// MODE SENSE data: caching and control pages, without block descriptors; none for a page that is not
-    /// supported.
+    /// Returns MODE SENSE data with the caching page, the control page or both, and without block descriptors; `None`
+    /// for an unsupported page.
     pub fn mode_sense(&self, form: ModeSenseForm, page: u8) -> Option<Vec<u8>> {
         let pages = match page {
             mode_page::CACHING => CACHING_PAGE.to_vec(),
@@ -165,7 +166,7 @@
             mode_page::ALL => [&CACHING_PAGE[..], &CONTROL_PAGE].concat(),
             _ => return None,
         };
-        // The mode data length counts all bytes behind itself.
+        // The mode data length counts all bytes after itself.
         let mut out = Vec::new();
         match form {
             ModeSenseForm::Six => {
@@ -184,14 +185,14 @@
     }
 }
 
-/// Says that the medium does not rotate (SBC-3).
+/// Returns the block device characteristics page body, which states that the medium does not rotate (SBC-3).
 fn block_device_characteristics() -> Vec<u8> {
     let mut body = vec![0; 60];
     body[1] = 1;
     body
 }
 
-/// REPORT LUNS data. `select_report` 1 asks for well-known logical units, of which there are none.
+/// Returns REPORT LUNS data. The list is empty for a `select_report` of 1, which requests well-known logical units.
 pub fn report_luns(luns: impl Iterator<Item = u32>, select_report: u8) -> Vec<u8> {
     let mut out = vec![0; 8];
     if select_report != 1 {
@@ -204,8 +205,8 @@
     out
 }
 
-/// Builds a MODE SELECT (6) of the control page that switches software write protect (SPC-4, 7.5.8): its
-/// command descriptor block and its data.
+/// Builds a MODE SELECT (6) with the control mode page that switches software write protect on or off (SPC-4, 7.5.8).
+/// Returns its command descriptor block and data.
 pub fn mode_select_write_protect(on: bool) -> ([u8; 16], Vec<u8>) {
     let mut data = vec![0; MODE_HEADER_6_LEN + CONTROL_PAGE.len()];
     data[4] = mode_page::CONTROL;
@@ -218,8 +219,8 @@
     (cdb, data)
 }
 
-/// Parses the data of a MODE SELECT (6): whether it switches software write protect on. None for anything
-/// but the control page.
+/// Parses the data of a MODE SELECT (6) and returns whether it switches software write protect on; `None` for
+/// anything but the control mode page.
 pub fn parse_write_protect(data: &[u8]) -> Option<bool> {
     let is_control_page = data.len() == MODE_HEADER_6_LEN + CONTROL_PAGE.len()
         && data[3] == 0
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -1,4 +1,4 @@
-//! One connection of a target, and the session on it (one connection a session, error recovery level 0).
+//! Connection of a target and the session on it. A session has one connection and error recovery level 0.
 mod complete;
 mod data_out;
 mod receive;
@@ -16,14 +16,14 @@
 use std::rc::Rc;
 use task_table::TaskTable;
 
-/// What a target is and allows.
+/// Configuration of a target.
 #[derive(Clone, Debug)]
 pub struct TargetConfig {
-    /// What to propose in the negotiation of a session.
+    /// Parameters to propose in the negotiation of a session.
     pub proposal: ProposedParams,
-    /// Most commands in flight, announced to the initiator by `MaxCmdSN`.
+    /// Maximum number of commands in flight, announced to the initiator by `MaxCmdSN`.
     pub command_window: u32,
-    /// Largest write in bytes.
+    /// Maximum length of a write, in bytes.
     pub max_transfer_bytes: usize,
     /// Names of the targets, for `SendTargets`.
     pub target_names: Vec<String>,
@@ -31,48 +31,49 @@
     pub portal_address: String,
 }
 
-/// What an initiator's PDUs led to. `task` names a command until it is completed or aborted.
+/// Event that results from the PDUs of an initiator. A `task` identifies a command until it is completed or aborted.
 #[derive(Debug, PartialEq, Eq)]
 pub enum TargetEvent {
     /// The login is complete.
     LoggedIn(LoginIdentity),
-    /// A command was received, with all the data that it writes.
+    /// A command was received together with all the data that it writes.
     Command {
-        /// Names the command to `complete` and `complete_with_status`.
+        /// Identifies the command in calls of `complete` and `complete_with_status`.
         task: u32,
-        /// Logical unit; none where its addressing method is unknown here.
+        /// LUN; `None` if its addressing method is not supported.
         lun: Option<u32>,
         /// Command descriptor block.
         cdb: [u8; 16],
-        /// Bytes that the initiator expects to read.
+        /// Number of bytes that the initiator expects to read.
         read_len: usize,
-        /// The data that is written.
+        /// Data that the command writes.
         data: Vec<u8>,
     },
-    /// A task management function aborted a command. It is not to be completed any more, and its `task` may
-    /// be given to another command once this event is taken.
+    /// A task management function aborted a command, which must not be completed from now on. Its `task` may be reused
+    /// for another command after this event.
     CommandAborted {
-        /// The command.
+        /// Identifies the command that was aborted.
         task: u32,
     },
-    /// The initiator logged out; the connection closes once the response is sent.
+    /// The initiator logged out; the connection is to be closed once the response is sent.
     Logout,
-    /// The initiator sent a NOP-Out: it is alive.
+    /// The initiator sent a NOP-Out, which shows that it is alive.
     NopOut,
 }
 
-/// How far a connection has come.
+/// Phase of a connection.
 enum Phase {
+    /// The login is not complete.
     Login(Box<TargetLogin>),
-    /// Logged in to a discovery session, which has no commands.
+    /// Logged in to a discovery session, which does not allow SCSI commands.
     Discovery,
     /// Logged in to a normal session.
     FullFeature,
-    /// Nothing more is received.
+    /// Received bytes are ignored, and the connection closes once the send buffer is sent.
     Closing,
 }
 
-/// One connection of a target. The caller moves bytes between it and a socket.
+/// Connection of a target. The caller transfers bytes between it and a socket.
 pub struct TargetConnection {
     config: Rc<TargetConfig>,
     phase: Phase,
@@ -82,12 +83,12 @@
     sequence: TargetSequence,
     tasks: TaskTable,
     events: VecDeque<TargetEvent>,
-    /// NOP-Ins since the initiator last answered one.
+    /// Number of NOP-Ins sent since the initiator last answered one.
     unanswered_pings: u32,
 }
 
 impl TargetConnection {
-    /// A connection that was accepted and waits for its login.
+    /// Returns a newly accepted connection, which expects a login request.
     pub fn new(config: Rc<TargetConfig>) -> Self {
         let proposal = config.proposal;
         TargetConnection {
@@ -103,42 +104,42 @@
         }
     }
 
-    /// The bytes to send.
+    /// Returns the buffer with the bytes to send.
     pub fn send_buffer(&mut self) -> &mut SendBuffer {
         &mut self.send_buffer
     }
 
-    /// The next event.
+    /// Removes and returns the next event.
     pub fn next_event(&mut self) -> Option<TargetEvent> {
         self.events.pop_front()
     }
 
-    /// Whether the session is in the full feature phase.
+    /// Returns whether the session is in the full feature phase.
     pub fn is_logged_in(&self) -> bool {
         matches!(self.phase, Phase::FullFeature | Phase::Discovery)
     }
 
-    /// Whether the connection closes: nothing more is received, but the send buffer is still to be sent.
+    /// Returns whether the connection is closing: received bytes are ignored, but the send buffer is still to be sent.
     pub fn is_closing(&self) -> bool {
         matches!(self.phase, Phase::Closing)
     }
 
-    /// Whether a PDU has begun to come in, or a command waits for its data.
+    /// Returns whether a PDU has been received in part or a command is waiting for data.
     pub fn has_partial_request(&self) -> bool {
         self.decoder.is_mid_pdu() || self.tasks.any_awaits_data()
     }
 
-    /// Number of commands that are neither completed nor aborted.
+    /// Returns the number of commands that are neither completed nor aborted.
     pub fn in_flight(&self) -> u32 {
         self.tasks.len()
     }
 
-    /// Bytes of memory allocated for this connection's buffers.
+    /// Returns the memory allocated for the buffers of the connection, in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.decoder.allocated_bytes() + self.send_buffer.allocated_bytes()
     }
 
-    /// Sends a NOP-In that asks for an answer. Returns how many of them, with this one, are unanswered.
+    /// Sends a NOP-In that requests an answer. Returns the number of unanswered ones, including this one.
     pub fn send_ping(&mut self) -> u32 {
         let bhs = Bhs::new(opcode::NOP_IN, flag::FINAL)
             .with_itt(RESERVED_TAG)
@@ -148,26 +149,26 @@
         self.unanswered_pings
     }
 
-    /// Asks the initiator to log out within so many seconds (section 11.9.1, event 1).
-    pub fn request_logout(&mut self, within: u16) {
+    /// Requests that the initiator log out within `within_seconds` (section 11.9.1, event 1).
+    pub fn request_logout(&mut self, within_seconds: u16) {
         let bhs = Bhs::new(opcode::ASYNC_MESSAGE, flag::FINAL)
             .with_itt(RESERVED_TAG)
-            .with_async_event(async_event::LOGOUT_REQUEST, within);
+            .with_async_event(async_event::LOGOUT_REQUEST, within_seconds);
         self.send_response(bhs, &[]);
     }
 
-    /// Sends a PDU that takes a `StatSN` of its own.
+    /// Sends a PDU that advances `StatSN`.
     fn send_response(&mut self, bhs: Bhs, data: &[u8]) {
         let stat_sn = self.sequence.take_stat_sn();
         self.send_numbered(bhs, stat_sn, data);
     }
 
-    /// Sends a PDU that names the next `StatSN` without taking it.
+    /// Sends a PDU that carries the next `StatSN` without advancing it.
     fn send_request(&mut self, bhs: Bhs, data: &[u8]) {
         self.send_numbered(bhs, self.sequence.next_stat_sn(), data);
     }
 
-    /// Sends a PDU with a `StatSN`, and with the command window as far as the commands in flight allow.
+    /// Sends a PDU with a `StatSN`, after extending the command window as far as the commands in flight allow.
     fn send_numbered(&mut self, bhs: Bhs, stat_sn: u32, data: &[u8]) {
         let free = self.config.command_window.saturating_sub(self.tasks.len());
         self.sequence.open_window(free);
--- a/crates/iscsi/src/target/complete.rs
+++ b/crates/iscsi/src/target/complete.rs
@@ -1,20 +1,22 @@
-//! Ends of commands: SCSI Response and Data-In (sections 11.4 and 11.7).
+//! Completion of commands: SCSI Response and Data-In (sections 11.4 and 11.7).
 use super::TargetConnection;
 use super::task_table::Task;
 use crate::pdu::{Bhs, MAX_RETRY_AFTER, RESERVED_TAG, flag, opcode};
 use crate::scsi::{SENSE_LEN, Sense, status};
 use std::num::NonZeroU16;
 
-/// By how much the data differs from what the initiator expected (section 11.4.5).
+/// Difference between the length of data and the length that the initiator expected (section 11.4.5).
 struct Residual {
+    /// Difference in bytes.
     count: usize,
+    /// `flag::UNDERFLOW` or `flag::OVERFLOW`; 0 for no difference.
     flag: u8,
 }
 
 impl Residual {
     const NONE: Residual = Residual { count: 0, flag: 0 };
 
-    /// Of a command that completes with `len` bytes of data.
+    /// Returns the residual of a command that completes with `len` bytes of data.
     fn of_data(task: &Task, len: usize) -> Residual {
         if len > task.read_len {
             return Residual {
@@ -31,7 +33,7 @@
         Residual::NONE
     }
 
-    /// Of a command that ends without data.
+    /// Returns the residual of a command that ends without data.
     fn of_no_data(task: &Task) -> Residual {
         match task.read_len {
             0 => Residual::NONE,
@@ -48,8 +50,8 @@
         self.tasks.remove(task as usize)
     }
 
-    /// Completes a command with GOOD, and with the data of a read, of which no more than the initiator
-    /// expects is sent. Does nothing if the command was aborted.
+    /// Completes a command with status GOOD. Sends `data`, which a read returns, up to the length that the initiator
+    /// expects. Does nothing if the command was aborted.
     pub fn complete(&mut self, task: u32, data: &[u8]) {
         let Some(task) = self.remove_task(task) else {
             return;
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Sends data, with the status GOOD in its last PDU.
+    /// Sends data in Data-In PDUs, the last of which carries status GOOD.
     fn send_data_in(&mut self, itt: u32, data: &[u8], residual: &Residual) {
         let max_len = self.params.max_send_data_segment;
         let last_index = data.len().div_ceil(max_len) - 1;
@@ -85,15 +87,15 @@
             if is_last {
                 self.send_response(bhs.with_residual_count(residual.count as u32), segment);
             } else {
-                // The StatSN field is reserved without a status (section 11.7).
+                // The StatSN field is reserved in a Data-In without status (section 11.7).
                 self.send_numbered(bhs, 0, segment);
             }
         }
     }
 
-    /// Ends a command with any other status. `retry_after` says of a BUSY or TASK SET FULL when to retry, in
-    /// units of 100 ms, if that is known; it is sent only where the session has status qualifiers (RFC 7144). Does nothing if
-    /// the command was aborted.
+    /// Completes a command with a status other than GOOD. `retry_after` is the delay, in units of 100 ms, after which
+    /// to retry on BUSY or TASK SET FULL, if known; it is sent only if the session has status qualifiers (RFC 7144).
+    /// Does nothing if the command was aborted.
     pub fn complete_with_status(
         &mut self,
         task: u32,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Answers a command that never became a task.
+    /// Answers a command that was not added to the task table with CHECK CONDITION.
     pub(super) fn send_check_condition(&mut self, itt: u32, sense: Sense) {
         let bhs = Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL)
             .with_status(status::CHECK_CONDITION)
@@ -127,7 +129,7 @@
     }
 }
 
-/// Sense data behind its length (section 11.4.7).
+/// Returns a data segment with the length of the sense data, followed by the sense data (section 11.4.7).
 fn sense_segment(sense: Sense) -> [u8; 2 + SENSE_LEN] {
     let mut segment = [0; 2 + SENSE_LEN];
     segment[1] = SENSE_LEN as u8;
--- a/crates/iscsi/src/target/data_out.rs
+++ b/crates/iscsi/src/target/data_out.rs
@@ -1,11 +1,11 @@
-//! The data of writes: R2T and Data-Out (sections 11.7 and 11.8).
+//! Reception of the data of writes: R2T and Data-Out (sections 11.7 and 11.8).
 use super::{TargetConnection, TargetEvent};
 use crate::error::ProtocolError;
 use crate::pdu::{Bhs, Pdu, flag, opcode};
 
 impl TargetConnection {
-    /// Goes on with a command behind a burst of data: asks for the next burst, or hands the command to the
-    /// caller once all its data is there.
+    /// Continues a command after a burst of data: requests the next burst, or delivers the command to the caller if all
+    /// its data has been received.
     pub(super) fn request_data_or_deliver(&mut self, index: usize) {
         let Some(task) = self.tasks.get_mut(index) else {
             return;
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn on_data_out(&mut self, pdu: &Pdu) -> Result<(), ProtocolError> {
-        // Data may still be in transit for a command that was aborted or completed meanwhile.
+        // Data for a command that has been aborted or completed may still arrive.
         let Some(index) = self.tasks.index_of(pdu.bhs.itt()) else {
             return Ok(());
         };
--- a/crates/iscsi/src/target/receive.rs
+++ b/crates/iscsi/src/target/receive.rs
@@ -1,4 +1,4 @@
-//! What a target does with the initiator's PDUs.
+//! Handling of the PDUs that a target receives.
 use super::task_table::Task;
 use super::write_transfer::WriteTransfer;
 use super::{Phase, TargetConnection, TargetEvent};
@@ -10,15 +10,16 @@
 use crate::scsi::Sense;
 use crate::text;
 
-/// Most commands for immediate delivery beyond the command window, which does not bound them.
+/// Maximum number of commands in flight beyond the command window. Only commands for immediate delivery, which the
+/// window does not limit, can exceed it.
 const MAX_IMMEDIATE_COMMANDS: u32 = 8;
 
 impl TargetConnection {
-    /// Takes bytes as they come from the stream, in pieces of any size.
+    /// Processes bytes received from the stream, in pieces of any size.
     ///
     /// # Errors
-    /// The initiator violated the protocol, or its login was rejected; the connection is to be closed once
-    /// the send buffer is sent.
+    /// Fails if the initiator violated the protocol or its login was rejected; the connection is then to be closed
+    /// once the send buffer is sent.
     pub fn receive(
         &mut self,
         mut input: &[u8],
@@ -29,7 +30,7 @@
                 Ok(None) => break,
                 Ok(Some(pdu)) => self.on_pdu(pdu, policy)?,
                 Err(error) => {
-                    // At error recovery level 0 the data cannot be requested again: the command cannot go on.
+                    // At error recovery level 0 the data cannot be requested again, so the command cannot continue.
                     if let FrameError::DataDigest(bhs) = &error {
                         self.reject(bhs, reject_reason::DATA_DIGEST_ERROR);
                     }
@@ -116,7 +117,7 @@
         Ok(())
     }
 
-    /// What was negotiated holds from the next PDU on.
+    /// Enters the full feature phase. The negotiated parameters apply from the next PDU on.
     fn enter_full_feature(&mut self, params: SessionParams, identity: LoginIdentity) {
         self.decoder
             .set_limits(params.digests, params.max_recv_data_segment);
@@ -186,8 +187,10 @@
         Ok(())
     }
 
-    /// Answers a write that also reads, or that is too long. The stream cannot go on where unsolicited data
-    /// follows, which nobody would take.
+    /// Answers a write that also reads or that is too long.
+    ///
+    /// # Errors
+    /// Fails if unsolicited data follows, since no task would receive that data.
     fn on_unservable_write(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
         self.send_check_condition(bhs.itt(), Sense::INVALID_FIELD_IN_CDB);
         if bhs.is_final() {
@@ -200,7 +203,8 @@
         })
     }
 
-    /// Checks a command's immediate data, and the unsolicited data it announces, against what was negotiated.
+    /// Checks the immediate data of a command, and the unsolicited data that it announces, against the negotiated
+    /// parameters.
     fn check_unsolicited_data(
         &self,
         bhs: &Bhs,
@@ -238,7 +242,7 @@
         Ok(())
     }
 
-    /// Appends the targets that `SendTargets` asks for (appendix C): all, or one by its name.
+    /// Appends the targets that `SendTargets` requests: all, or the one with the given name (appendix C).
     fn push_targets(&self, wanted: &str, out: &mut Vec<u8>) {
         let all = wanted == "All" || wanted.is_empty();
         let address = format!("{},1", self.config.portal_address);
--- a/crates/iscsi/src/target/sequence.rs
+++ b/crates/iscsi/src/target/sequence.rs
@@ -1,8 +1,8 @@
-//! The sequence numbers of a session at its target (section 4.2.2).
+//! Sequence numbers of a session at its target (section 4.2.2).
 use crate::error::ProtocolError;
 use crate::pdu::{Bhs, serial_before};
 
-/// Numbers of commands and of statuses.
+/// Sequence numbers of commands and statuses at a target.
 #[expect(clippy::struct_field_names, reason = "the names of RFC 7143")]
 pub(super) struct TargetSequence {
     stat_sn: u32,
@@ -11,7 +11,7 @@
 }
 
 impl TargetSequence {
-    /// The numbers of a connection whose first login request has not come yet.
+    /// Returns the sequence numbers of a connection that has not received a login request.
     pub(super) fn new() -> Self {
         TargetSequence {
             stat_sn: 1,
@@ -20,14 +20,18 @@
         }
     }
 
-    /// Takes the command number of a login request, which it does not use up. All of `window` is open behind it.
+    /// Starts with the `CmdSN` of a login request, which does not advance `ExpCmdSN`, and a command window of `window`
+    /// commands.
     pub(super) fn start(&mut self, cmd_sn: u32, window: u32) {
         self.exp_cmd_sn = cmd_sn;
         self.max_cmd_sn = cmd_sn.wrapping_add(window).wrapping_sub(1);
     }
 
-    /// Takes the number of a request that is not immediate; false where the request is to be ignored because its
-    /// number is outside the window (section 4.2.2.1).
+    /// Checks the `CmdSN` of a request that is not immediate. Returns false if the request is to be ignored because its
+    /// `CmdSN` is outside the command window (section 4.2.2.1).
+    ///
+    /// # Errors
+    /// Fails if the `CmdSN` is inside the command window but not the next one.
     pub(super) fn accept(&mut self, cmd_sn: u32) -> Result<bool, ProtocolError> {
         if serial_before(cmd_sn, self.exp_cmd_sn) || serial_before(self.max_cmd_sn, cmd_sn) {
             return Ok(false);
@@ -42,7 +46,7 @@
         Ok(true)
     }
 
-    /// Moves `MaxCmdSN` up to where `free` commands more fit. It never moves back (section 4.2.2.1).
+    /// Raises `MaxCmdSN` so that the command window admits `free` more commands. It never decreases (section 4.2.2.1).
     pub(super) fn open_window(&mut self, free: u32) {
         let max_cmd_sn = self.exp_cmd_sn.wrapping_add(free).wrapping_sub(1);
         if serial_before(self.max_cmd_sn, max_cmd_sn) {
@@ -50,19 +54,19 @@
         }
     }
 
-    /// The next `StatSN`, which is not used up.
+    /// Returns the next `StatSN` without advancing it.
     pub(super) fn next_stat_sn(&self) -> u32 {
         self.stat_sn
     }
 
-    /// Uses up the next `StatSN`.
+    /// Returns the next `StatSN` and advances it.
     pub(super) fn take_stat_sn(&mut self) -> u32 {
         let stat_sn = self.stat_sn;
         self.stat_sn = stat_sn.wrapping_add(1);
         stat_sn
     }
 
-    /// A header with a status number and the command window.
+    /// Sets a `StatSN` and the command window in a header.
     pub(super) fn number(&self, bhs: Bhs, stat_sn: u32) -> Bhs {
         bhs.with_stat_sn(stat_sn)
             .with_exp_cmd_sn(self.exp_cmd_sn)
--- a/crates/iscsi/src/target/task_management.rs
+++ b/crates/iscsi/src/target/task_management.rs
@@ -1,8 +1,8 @@
-//! Task management functions (sections 11.5 and 11.6).
+//! Task management functions of a target (sections 11.5 and 11.6).
 use super::{TargetConnection, TargetEvent};
 use crate::pdu::{Bhs, flag, opcode, task_function, task_response};
 
-/// Bits of byte 1 that hold the function.
+/// Bits of byte 1 that hold the task management function.
 const FUNCTION_BITS: u8 = 0x7f;
 
 impl TargetConnection {
@@ -31,10 +31,14 @@
         self.send_response(bhs, &[]);
     }
 
-    /// Aborts the tasks of the logical units that `selects` picks.
-    fn abort_all(&mut self, selects: impl Fn(Option<u32>) -> bool) {
+    /// Aborts the tasks of the logical units that `is_selected` selects by their LUN.
+    fn abort_all(&mut self, is_selected: impl Fn(Option<u32>) -> bool) {
         for index in 0..self.tasks.slot_count() {
-            if self.tasks.get(index).is_some_and(|task| selects(task.lun)) {
+            if self
+                .tasks
+                .get(index)
+                .is_some_and(|task| is_selected(task.lun))
+            {
                 self.abort(index);
             }
         }
--- a/crates/iscsi/src/target/task_table.rs
+++ b/crates/iscsi/src/target/task_table.rs
@@ -1,19 +1,19 @@
-//! The commands of a connection that are neither completed nor aborted.
+//! Commands of a connection that are neither completed nor aborted.
 use super::write_transfer::WriteTransfer;
 
-/// A command, called a task in SAM-5.
+/// Command in flight, called a task in SAM-5.
 pub(super) struct Task {
     pub itt: u32,
     pub lun: Option<u32>,
     pub cdb: [u8; 16],
-    /// Bytes that the initiator expects to read.
+    /// Number of bytes that the initiator expects to read.
     pub read_len: usize,
     pub is_read: bool,
-    /// The data that it writes.
+    /// Transfer of the data that the command writes.
     pub write: WriteTransfer,
 }
 
-/// Tasks by their index, which the caller knows as `task` and the initiator as the target transfer tag.
+/// Tasks by index. The index is the `task` in calls and events, and the target transfer tag in R2Ts.
 #[derive(Default)]
 pub(super) struct TaskTable {
     slots: Vec<Option<Task>>,
@@ -21,17 +21,17 @@
 }
 
 impl TaskTable {
-    /// Number of tasks.
+    /// Returns the number of tasks.
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// Number of indices that have ever been in use.
+    /// Returns the number of slots, used or free: all indices in use are below it.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// Adds a task at the first free index, which is returned.
+    /// Inserts a task at the first free index and returns the index.
     pub fn insert(&mut self, task: Task) -> usize {
         self.len += 1;
         for (index, slot) in self.slots.iter_mut().enumerate() {
@@ -64,7 +64,7 @@
             .position(|slot| slot.as_ref().is_some_and(|task| task.itt == itt))
     }
 
-    /// Whether any command is not delivered yet.
+    /// Returns whether any command is waiting for data and thus not delivered to the caller.
     pub fn any_awaits_data(&self) -> bool {
         self.slots
             .iter()
--- a/crates/iscsi/src/target/write_transfer.rs
+++ b/crates/iscsi/src/target/write_transfer.rs
@@ -1,46 +1,47 @@
-//! The data of one write as it comes in: immediate data, unsolicited Data-Out, and bursts that R2Ts ask for (sections
-//! 11.7 and 11.8).
+//! Reception of the data of a write: immediate data, unsolicited Data-Out, and bursts that R2Ts request (sections 11.7
+//! and 11.8).
 use crate::error::ProtocolError;
 use crate::pdu::{Bhs, Pdu, RESERVED_TAG};
 
-/// How far the data of a command has come.
+/// Phase of the data transfer of a command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DataPhase {
-    /// Unsolicited Data-Out may come.
+    /// Immediate and unsolicited data may be received.
     Unsolicited,
-    /// An R2T is open.
+    /// An R2T is outstanding.
     Solicited,
-    /// The command and all its data were handed to the caller.
+    /// The command and all its data were delivered to the caller.
     Delivered,
 }
 
-/// A burst of data that an R2T asks for.
+/// Burst of data that an R2T requests.
 pub(super) struct Burst {
-    /// Number of the R2T.
+    /// `R2TSN` of the R2T.
     pub(super) r2t_sn: u32,
     /// Buffer offset of the first byte.
     pub(super) offset: usize,
-    /// Bytes to ask for.
+    /// Number of bytes to request.
     pub(super) len: usize,
 }
 
-/// The data of a write; of a command that writes nothing, none.
+/// Transfer of the data of a command; empty for a command that does not write.
 pub(super) struct WriteTransfer {
-    /// Bytes that the command writes in all.
+    /// Total number of bytes that the command writes.
     total_len: usize,
-    /// The data received so far, until it is delivered.
+    /// Data received so far, until it is delivered.
     data: Vec<u8>,
     phase: DataPhase,
-    /// Buffer offset at which the present burst ends at the latest.
+    /// Buffer offset at which the current burst ends at the latest.
     burst_end: usize,
-    /// Number of the next Data-Out PDU in its burst.
+    /// `DataSN` of the next Data-Out PDU in the current burst.
     next_data_sn: u32,
-    /// Number of the next R2T.
+    /// `R2TSN` of the next R2T.
     next_r2t_sn: u32,
 }
 
 impl WriteTransfer {
-    /// Begins with the immediate data of a command. `unsolicited_len`: bytes that may come without an R2T.
+    /// Returns the transfer of a command with its immediate data. `unsolicited_len` is the number of bytes, with the
+    /// immediate data, that may be received without an R2T.
     pub(super) fn new(mut immediate: Vec<u8>, total_len: usize, unsolicited_len: usize) -> Self {
         if immediate.len() < total_len {
             immediate.reserve_exact(total_len - immediate.len());
@@ -55,12 +56,12 @@
         }
     }
 
-    /// Whether the command and all its data were handed to the caller.
+    /// Returns whether the command and all its data were delivered to the caller.
     pub(super) fn is_delivered(&self) -> bool {
         self.phase == DataPhase::Delivered
     }
 
-    /// All the data, once it is there; it then counts as delivered.
+    /// Returns the data and marks it as delivered, or returns `None` if it has not been received completely.
     pub(super) fn deliver(&mut self) -> Option<Vec<u8>> {
         if self.data.len() < self.total_len {
             return None;
@@ -69,7 +70,7 @@
         Some(std::mem::take(&mut self.data))
     }
 
-    /// Opens the next burst, of `max_len` bytes at most.
+    /// Starts the next burst, of up to `max_len` bytes.
     pub(super) fn next_burst(&mut self, max_len: usize) -> Burst {
         let offset = self.data.len();
         let len = (self.total_len - offset).min(max_len);
@@ -85,10 +86,11 @@
         }
     }
 
-    /// Takes a Data-Out PDU. `transfer_tag`: the tag of R2Ts for this command. Returns whether the PDU ends its burst.
+    /// Receives a Data-Out PDU. `transfer_tag` is the target transfer tag of R2Ts for this command. Returns whether the
+    /// PDU ends its burst.
     ///
     /// # Errors
-    /// The PDU is not the one that comes next, or the burst is longer or shorter than was agreed.
+    /// Fails if the PDU is not the one that comes next, or the burst is longer or shorter than allowed.
     pub(super) fn receive(&mut self, pdu: &Pdu, transfer_tag: u32) -> Result<bool, ProtocolError> {
         self.check_next(&pdu.bhs, pdu.data.len(), transfer_tag)?;
         self.data.extend_from_slice(&pdu.data);
@@ -105,7 +107,7 @@
         Ok(is_final)
     }
 
-    /// Checks that a Data-Out PDU is the one that comes next.
+    /// Checks that a Data-Out PDU is the one that comes next and stays within its burst.
     fn check_next(&self, bhs: &Bhs, len: usize, transfer_tag: u32) -> Result<(), ProtocolError> {
         let tag = bhs.target_transfer_tag();
         let expected_tag = match self.phase {
--- a/crates/iscsi/src/text.rs
+++ b/crates/iscsi/src/text.rs
@@ -1,37 +1,37 @@
-//! Keys and values of login and text PDUs (section 6.1).
+//! Parsing and formatting of the `key=value` pairs in login and text PDUs (section 6.1).
 use thiserror::Error;
 
-/// Longest key name in bytes (section 6.1).
+/// Maximum length of a key name, in bytes (section 6.1).
 const MAX_KEY_LEN: usize = 63;
-/// Longest value in bytes, unless a key says otherwise (section 6.1).
+/// Maximum length of a value, in bytes, unless the definition of its key says otherwise (section 6.1).
 const MAX_VALUE_LEN: usize = 255;
-/// Most pairs in one negotiation; the standard has some thirty keys.
+/// Maximum number of pairs in one text; the standard defines some thirty keys.
 const MAX_PAIRS: usize = 64;
 
-/// Why a data segment is not a list of `key=value` pairs.
+/// Error in a data segment that should be a list of `key=value` pairs.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TextError {
-    /// A pair is not UTF-8.
+    /// A pair is not valid UTF-8.
     #[error("a pair that is not UTF-8")]
     NotUtf8,
     /// A pair has no `=`. Holds the pair.
     #[error("{0:.40}: expected key=value")]
     MissingEqualsSign(String),
-    /// A key name is empty, too long or has a character that is not allowed. Holds the name.
+    /// A key name is empty, too long or contains a character that is not allowed. Holds the name.
     #[error("{0:.40}: expected a key name of up to {max} letters", max = MAX_KEY_LEN)]
     InvalidKey(String),
-    /// A value is too long. Holds its key.
+    /// A value is too long. Holds the key of the value.
     #[error("{0}: expected a value of up to {max} bytes", max = MAX_VALUE_LEN)]
     ValueTooLong(String),
-    /// A key occurs a second time.
+    /// A key occurs twice. Holds the key.
     #[error("{0}: expected once, came twice")]
     DuplicateKey(String),
-    /// There are more pairs than any negotiation needs.
+    /// The data segment has more pairs than any negotiation needs.
     #[error("expected at most {max} pairs", max = MAX_PAIRS)]
     TooManyPairs,
 }
 
-/// Splits a data segment into its pairs of key and value.
+/// Splits a data segment into pairs of key and value.
 pub(crate) fn parse_pairs(data: &[u8]) -> Result<Vec<(&str, &str)>, TextError> {
     let mut pairs: Vec<(&str, &str)> = Vec::new();
     for bytes in data
@@ -68,7 +68,7 @@
     byte.is_ascii_alphanumeric() || b".-+@_/".contains(&byte)
 }
 
-/// Appends one pair, with the NUL that ends it.
+/// Appends a `key=value` pair and its terminating NUL.
 pub(crate) fn push_pair(out: &mut Vec<u8>, key: &str, value: &str) {
     out.extend_from_slice(key.as_bytes());
     out.push(b'=');
