--- a/crates/iscsi/src/error.rs
+++ b/crates/iscsi/src/error.rs
@@ -67,7 +67,7 @@
     #[error("immediate data past what was agreed")]
     ImmediateDataTooLong,
     /// At a target: a command announces unsolicited Data-Out PDUs although `InitialR2T` is Yes.
-    #[error("unsolicited data where none was agreed")]
+    #[error("unsolicited Data-Out announced although InitialR2T is Yes")]
     UnsolicitedData,
     /// At a target: the target transfer tag of a Data-Out is not the one expected in the current phase of the transfer.
     #[error("data for transfer tag {tag:#x}, not asked for")]
@@ -101,11 +101,11 @@
     #[error("burst goes on past what was asked for")]
     BurstNotEnded,
     /// At a target: the answer to `SendTargets` is longer than a data segment that the initiator accepts.
-    #[error("list of targets past the initiator's segment")]
+    #[error("text response exceeds the initiator's MaxRecvDataSegmentLength")]
     TargetListTooLong,
 
     /// At an initiator: a PDU other than a login response was received during login.
-    #[error("opcode {opcode:#04x} during login")]
+    #[error("opcode {opcode:#04x} during login, expected a login response")]
     ExpectedLoginResponse {
         /// Opcode of the PDU that was received instead.
         opcode: u8,
@@ -114,7 +114,7 @@
     #[error("login refused, status {0}")]
     LoginStatus(LoginStatus),
     /// At an initiator: the target neither completes nor rejects the login within the maximum number of requests.
-    #[error("login goes on after eight requests")]
+    #[error("login is not completed after eight further requests")]
     LoginTooLong,
     /// At an initiator: a status sequence number is missing or duplicate.
     #[error("StatSN {received}, expected {expected}")]
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -111,31 +111,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LoginError {
     /// The initiator does not support version 0 of the protocol.
-    #[error("expected a version range with 0 in it")]
+    #[error("initiator does not support protocol version 0")]
     Version,
     /// A request that ends its stage also announces more text.
-    #[error("transit and continue bits both set")]
+    #[error("transit and continue bits of the login request are both set")]
     TransitAndContinue,
     /// The request is for a stage other than the current one.
-    #[error("stage is not the one this login is in")]
+    #[error("login request is not for the current stage of the login")]
     WrongStage,
     /// The next stage is reserved or does not come after the current one.
-    #[error("next stage does not follow the present one")]
+    #[error("next stage of the login does not follow the current one")]
     WrongNextStage,
     /// The login text, which may span several requests, is too long.
-    #[error("login text past 16 KiB")]
+    #[error("login text exceeds 16 KiB")]
     TextTooLong,
     /// The login text is malformed.
     #[error(transparent)]
     Text(#[from] TextError),
     /// The first request has no `InitiatorName`.
-    #[error("InitiatorName: expected in the first request")]
+    #[error("InitiatorName is missing from the first login request")]
     MissingInitiatorName,
     /// The first request of a normal session has no `TargetName`.
-    #[error("TargetName: expected in a normal session")]
+    #[error("TargetName is missing from the first login request of a normal session")]
     MissingTargetName,
     /// The login policy rejected the initiator.
-    #[error("{initiator} not let in")]
+    #[error("login policy does not admit initiator {initiator}")]
     NotAdmitted {
         /// `InitiatorName`.
         initiator: String,
@@ -143,7 +143,7 @@
         status: LoginStatus,
     },
     /// The initiator requires authentication.
-    #[error("AuthMethod: expected None among them")]
+    #[error("AuthMethod does not offer None, the only supported method")]
     AuthenticationRequired,
     /// An operational parameter is invalid.
     #[error(transparent)]
--- a/crates/iscsi/src/text.rs
+++ b/crates/iscsi/src/text.rs
@@ -21,13 +21,13 @@
     #[error("{0:.40}: expected a key name of up to {max} letters", max = MAX_KEY_LEN)]
     InvalidKey(String),
     /// A value is too long. Holds the key of the value.
-    #[error("{0}: expected a value of up to {max} bytes", max = MAX_VALUE_LEN)]
+    #[error("value of key {0} is too long: expected up to {max} bytes", max = MAX_VALUE_LEN)]
     ValueTooLong(String),
     /// A key occurs twice. Holds the key.
-    #[error("{0}: expected once, came twice")]
+    #[error("duplicate key {0}")]
     DuplicateKey(String),
     /// The data segment has more pairs than any negotiation needs.
-    #[error("expected at most {max} pairs", max = MAX_PAIRS)]
+    #[error("too many key=value pairs: expected at most {max}", max = MAX_PAIRS)]
     TooManyPairs,
 }
 
