--- a/crates/iscsi/src/error.rs
+++ b/crates/iscsi/src/error.rs
@@ -36,13 +36,13 @@
         reason: LoginError,
     },
     /// At a target: a PDU was received that an initiator must not send in the full feature phase.
-    #[error("opcode {opcode:#04x} is not for the full feature phase")]
+    #[error("opcode {opcode:#04x} is not valid from an initiator in the full feature phase")]
     UnexpectedRequest {
         /// Opcode of the PDU.
         opcode: u8,
     },
     /// At a target: a command sequence number is missing. It cannot arrive later, since the session has one connection.
-    #[error("CmdSN {received}, expected {expected}")]
+    #[error("CmdSN out of sequence: received {received}, expected {expected}")]
     CommandSequenceGap {
         /// `CmdSN` of the request.
         received: u32,
@@ -50,13 +50,15 @@
         expected: u32,
     },
     /// At a target: a command uses the tag of another task or the reserved tag.
-    #[error("task tag {itt:#x} is in use")]
+    #[error("initiator task tag {itt:#x} is already in use or reserved")]
     TaskTagInUse {
         /// Initiator task tag of the command.
         itt: u32,
     },
     /// At a target: a write that is too long, or that also reads, is followed by unsolicited data.
-    #[error("write of {len} bytes, at most {limit}")]
+    #[error(
+        "write of {len} bytes with unsolicited data cannot be served: it also reads, or exceeds {limit} bytes"
+    )]
     WriteTooLong {
         /// Expected data transfer length, in bytes.
         len: usize,
@@ -64,19 +66,21 @@
         limit: usize,
     },
     /// At a target: a command has more immediate data than was negotiated or than it writes.
-    #[error("immediate data past what was agreed")]
+    #[error("immediate data exceeds the negotiated length or the length of the write")]
     ImmediateDataTooLong,
     /// At a target: a command announces unsolicited Data-Out PDUs although `InitialR2T` is Yes.
     #[error("unsolicited Data-Out announced although InitialR2T is Yes")]
     UnsolicitedData,
     /// At a target: the target transfer tag of a Data-Out is not the one expected in the current phase of the transfer.
-    #[error("data for transfer tag {tag:#x}, not asked for")]
+    #[error("Data-Out with target transfer tag {tag:#x} was not asked for")]
     UnknownTransferTag {
         /// Target transfer tag of the PDU.
         tag: u32,
     },
     /// At a target: the buffer offset or `DataSN` of a Data-Out is out of order.
-    #[error("data at {offset}, expected at {expected} in order")]
+    #[error(
+        "Data-Out out of order: received buffer offset {offset}, expected offset {expected} and the next DataSN"
+    )]
     WriteDataOutOfOrder {
         /// Buffer offset of the PDU.
         offset: usize,
@@ -84,7 +88,7 @@
         expected: usize,
     },
     /// At a target: the data of a Data-Out extends past the end of its burst.
-    #[error("data to {end}, expected up to {limit}")]
+    #[error("Data-Out ends at buffer offset {end}, past the end of its burst at {limit}")]
     DataPastBurst {
         /// Buffer offset after the last byte of the PDU.
         end: usize,
@@ -92,13 +96,13 @@
         limit: usize,
     },
     /// At a target: a Data-Out without data does not end its burst.
-    #[error("data PDU without data")]
+    #[error("Data-Out without data does not end its burst")]
     EmptyDataOut,
     /// At a target: a solicited burst ended before all the requested data was received.
-    #[error("burst ended short of what was asked for")]
+    #[error("solicited burst ended before all the data asked for was received")]
     BurstTooShort,
     /// At a target: the Data-Out that completes a solicited burst lacks the final bit.
-    #[error("burst goes on past what was asked for")]
+    #[error("solicited burst lacks the final bit on the last of the data asked for")]
     BurstNotEnded,
     /// At a target: the answer to `SendTargets` is longer than a data segment that the initiator accepts.
     #[error("text response exceeds the initiator's MaxRecvDataSegmentLength")]
@@ -117,7 +121,7 @@
     #[error("login is not completed after eight further requests")]
     LoginTooLong,
     /// At an initiator: a status sequence number is missing or duplicate.
-    #[error("StatSN {received}, expected {expected}")]
+    #[error("StatSN out of sequence: received {received}, expected {expected}")]
     StatusSequenceGap {
         /// `StatSN` of the response.
         received: u32,
@@ -125,19 +129,21 @@
         expected: u32,
     },
     /// At an initiator: the target sent an asynchronous message that ends the connection or the session.
-    #[error("target drops the connection (event {event})")]
+    #[error("target ends the connection or the session (AsyncEvent {event})")]
     DroppedByTarget {
         /// `AsyncEvent` (section 11.9.1).
         event: u8,
     },
     /// At an initiator: a PDU was received that a target must not send in the full feature phase.
-    #[error("opcode {opcode:#04x} from a target")]
+    #[error("opcode {opcode:#04x} is not valid from a target in the full feature phase")]
     UnexpectedResponse {
         /// Opcode of the PDU.
         opcode: u8,
     },
     /// At an initiator: Data-In is out of order, or longer than expected.
-    #[error("data at {offset}, expected at {expected}")]
+    #[error(
+        "Data-In out of order or too long: received buffer offset {offset}, expected offset {expected}"
+    )]
     ReadDataOutOfOrder {
         /// Buffer offset of the PDU.
         offset: u32,
@@ -145,7 +151,9 @@
         expected: usize,
     },
     /// At an initiator: an R2T requests no data, or data other than that which comes next.
-    #[error("asked for {len} bytes at {offset}, {sent} to come")]
+    #[error(
+        "R2T asked for {len} bytes at buffer offset {offset}, expected unsent data from offset {sent} on"
+    )]
     InvalidReadyToTransfer {
         /// Desired data transfer length, in bytes.
         len: usize,
--- a/crates/iscsi/src/frame.rs
+++ b/crates/iscsi/src/frame.rs
@@ -31,7 +31,7 @@
     #[error("data digest does not match (opcode {:#04x})", .0.opcode())]
     DataDigest(Bhs),
     /// A data segment is longer than this side has declared to accept.
-    #[error("data segment of {len} bytes, at most {limit} agreed")]
+    #[error("data segment of {len} bytes exceeds MaxRecvDataSegmentLength ({limit} bytes)")]
     DataSegmentTooLong {
         /// Length of the data segment, in bytes.
         len: usize,
--- a/crates/iscsi/src/text.rs
+++ b/crates/iscsi/src/text.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TextError {
     /// A pair is not valid UTF-8.
-    #[error("a pair that is not UTF-8")]
+    #[error("key=value pair is not UTF-8")]
     NotUtf8,
     /// A pair has no `=`. Holds the pair.
-    #[error("{0:.40}: expected key=value")]
+    #[error("invalid text pair \"{0:.40}\": expected key=value")]
     MissingEqualsSign(String),
     /// A key name is empty, too long or contains a character that is not allowed. Holds the name.
-    #[error("{0:.40}: expected a key name of up to {max} letters", max = MAX_KEY_LEN)]
+    #[error("invalid key name \"{0:.40}\": expected 1 to {max} letters, digits or characters of .-+@_/", max = MAX_KEY_LEN)]
     InvalidKey(String),
     /// A value is too long. Holds the key of the value.
     #[error("value of key {0} is too long: expected up to {max} bytes", max = MAX_VALUE_LEN)]
--- a/crates/iscsi/tests/pinned_wire/login.rs
+++ b/crates/iscsi/tests/pinned_wire/login.rs
@@ -221,7 +221,7 @@
     }
     let expected = [
         "unsolicited Data-Out announced although InitialR2T is Yes",
-        "immediate data past what was agreed",
+        "immediate data exceeds the negotiated length or the length of the write",
     ];
     assert_eq!(errors, expected);
 }
@@ -249,7 +249,10 @@
     );
     for (immediate, expected) in [
         (65_536, "none"),
-        (65_537, "immediate data past what was agreed"),
+        (
+            65_537,
+            "immediate data exceeds the negotiated length or the length of the write",
+        ),
     ] {
         let mut target = TargetConnection::new(Rc::new(TargetConfig {
             proposal: ProposedParams::default(),
@@ -519,10 +522,10 @@
     "0207 04  | login refused (0207): TargetName is missing from the first login request of a normal session",
     "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     "0203 04  | login refused (0203): login policy does not admit initiator iqn.i",
-    "0200 04  | login refused (0200): no pair: expected key=value",
-    "0200 04  | login refused (0200): b d: expected a key name of up to 63 letters",
-    "0200 04  | login refused (0200): : expected a key name of up to 63 letters",
-    "0200 04  | login refused (0200): kkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkk: expected a key name of up to 63 letters",
+    "0200 04  | login refused (0200): invalid text pair \"no pair\": expected key=value",
+    "0200 04  | login refused (0200): invalid key name \"b d\": expected 1 to 63 letters, digits or characters of .-+@_/",
+    "0200 04  | login refused (0200): invalid key name \"\": expected 1 to 63 letters, digits or characters of .-+@_/",
+    "0200 04  | login refused (0200): invalid key name \"kkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkkk\": expected 1 to 63 letters, digits or characters of .-+@_/",
     "0200 04  | login refused (0200): value of key k is too long: expected up to 255 bytes",
     "0200 04  | login refused (0200): duplicate key TargetName",
     "0200 04  | login refused (0200): too many key=value pairs: expected at most 64",
@@ -533,14 +536,14 @@
     "0000 04  | 0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     "0000 04  | 0000 04  | 0302 04  | login refused (0302): login text exceeds 16 KiB",
     "opcode 0x00, expected a login request",
-    "0200 04  | login refused (0200): a pair that is not UTF-8",
-    "data segment of 8193 bytes, at most 8192 agreed",
+    "0200 04  | login refused (0200): key=value pair is not UTF-8",
+    "data segment of 8193 bytes exceeds MaxRecvDataSegmentLength (8192 bytes)",
 ];
 
 const LOGIN_RESPONSES: &[&str] = &[
     "opcode 0x20 during login, expected a login response",
     "login refused, status 0301",
-    "no pair: expected key=value",
+    "invalid text pair \"no pair\": expected key=value",
     "true 0",
     "false 48",
     "HeaderDigest=Reject: expected CRC32C or None",
