--- a/crates/iscsi/src/login/target.rs
+++ b/crates/iscsi/src/login/target.rs
@@ -20,7 +20,7 @@
     admitted: Option<AdmittedLogin>,
     stage: u8,
     portal_group_sent: bool,
-    /// Text of the requests so far whose text continues in the next request.
+    /// Text received so far that continues in the next request.
     text: Vec<u8>,
 }
 
@@ -54,7 +54,7 @@
     /// Whether the initiator requests a transition to the next stage (T bit).
     transit: bool,
     /// Whether the text continues in the next request (C bit).
-    to_be_continued: bool,
+    continues: bool,
     current: u8,
     next: u8,
 }
@@ -63,7 +63,7 @@
     fn of(bhs: &Bhs) -> Self {
         Stages {
             transit: bhs.is_final(),
-            to_be_continued: bhs.flags() & flag::CONTINUE != 0,
+            continues: bhs.flags() & flag::CONTINUE != 0,
             current: (bhs.flags() >> 2) & 3,
             next: bhs.flags() & 3,
         }
@@ -114,7 +114,7 @@
             return Err(LoginError::TextTooLong);
         }
         self.text.extend_from_slice(&pdu.data);
-        if stages.to_be_continued {
+        if stages.continues {
             let bhs = self.response(pdu, stages.current << 2);
             return Ok(LoginReply {
                 bhs,
@@ -157,7 +157,7 @@
         if pdu.bhs.version_min() > 0 {
             return Err(LoginError::Version);
         }
-        if stages.transit && stages.to_be_continued {
+        if stages.transit && stages.continues {
             return Err(LoginError::TransitAndContinue);
         }
         let is_first = self.admitted.is_none() && stages.current <= stage::OPERATIONAL;
--- a/crates/iscsi/src/target/receive.rs
+++ b/crates/iscsi/src/target/receive.rs
@@ -148,8 +148,8 @@
             .with_itt(pdu.bhs.itt())
             .with_target_transfer_tag(RESERVED_TAG)
             .with_lun_of(&pdu.bhs);
-        let echoed = pdu.data.len().min(self.params.max_send_data_segment);
-        let echo = pdu.data.get(..echoed).unwrap_or_default();
+        let echo_len = pdu.data.len().min(self.params.max_send_data_segment);
+        let echo = pdu.data.get(..echo_len).unwrap_or_default();
         self.send_response(bhs, echo);
     }
 
@@ -243,14 +243,14 @@
     }
 
     /// Appends the targets that `SendTargets` requests: all, or the one with the given name (appendix C).
-    fn push_targets(&self, wanted: &str, out: &mut Vec<u8>) {
-        let all = wanted == "All" || wanted.is_empty();
+    fn push_targets(&self, requested: &str, out: &mut Vec<u8>) {
+        let all = requested == "All" || requested.is_empty();
         let address = format!("{},1", self.config.portal_address);
         for name in self
             .config
             .target_names
             .iter()
-            .filter(|name| all || *name == wanted)
+            .filter(|name| all || *name == requested)
         {
             text::push_pair(out, "TargetName", name);
             text::push_pair(out, "TargetAddress", &address);
