--- a/crates/catalog-service/src/hosts.rs
+++ b/crates/catalog-service/src/hosts.rs
@@ -13,7 +13,10 @@
 impl<N: NodeConnections> CatalogService<N> {
     pub(crate) fn on_message(&mut self, id: HostId, message: ToCatalog) {
         match message {
-            ToCatalog::Hello { host, known } => self.on_hello(id, &host, known),
+            ToCatalog::Hello {
+                host,
+                replica_version,
+            } => self.on_hello(id, &host, replica_version),
             ToCatalog::RenewLease {
                 sent_at,
                 seen_version,
@@ -30,10 +33,13 @@
         }
     }
 
-    fn on_hello(&mut self, id: HostId, name: &str, known: Option<TreeVersion>) {
+    fn on_hello(&mut self, id: HostId, name: &str, replica_version: Option<TreeVersion>) {
         if let Some(host) = self.sockets.hosts_mut().get_mut(id) {
             host.set_name(name);
-            self.outbox.add_hello(Hello { host: id, known });
+            self.outbox.add_hello(Hello {
+                host: id,
+                replica_version,
+            });
         }
     }
 
--- a/crates/catalog-service/src/lib.rs
+++ b/crates/catalog-service/src/lib.rs
@@ -216,7 +216,7 @@
         for hello in self.outbox.take_hellos() {
             if let Some(host) = self.sockets.hosts_mut().get_mut(hello.host) {
                 host.set_state(Subscription::Active);
-                self.tree.send_missing(hello.known, host);
+                self.tree.send_missing(hello.replica_version, host);
             }
         }
     }
--- a/crates/catalog-service/src/node_commands.rs
+++ b/crates/catalog-service/src/node_commands.rs
@@ -26,7 +26,7 @@
 /// A command that a node has carried out or failed.
 pub(crate) struct EndedCommand {
     pub(crate) purpose: Purpose,
-    pub(crate) is_done: bool,
+    pub(crate) has_succeeded: bool,
 }
 
 /// A command whose node has not answered in time.
@@ -163,7 +163,7 @@
             if let Some(command) = self.in_flight.remove(&finished.tag) {
                 return Some(EndedCommand {
                     purpose: command.purpose,
-                    is_done: finished.is_done,
+                    has_succeeded: finished.has_succeeded,
                 });
             }
         }
--- a/crates/catalog-service/src/node_commands/tests.rs
+++ b/crates/catalog-service/src/node_commands/tests.rs
@@ -57,14 +57,14 @@
 
 #[test]
 fn a_command_ends_once_with_what_its_node_says() {
-    for is_done in [true, false] {
+    for has_succeeded in [true, false] {
         let mut commands = unmapping_at(0);
         assert_eq!(commands.nodes.submitted, [1]);
-        let finished = |tag| FinishedCommand { tag, is_done };
+        let finished = |tag| FinishedCommand { tag, has_succeeded };
         commands.nodes.finished = vec![finished(1), finished(1), finished(9)];
         let ended = commands.next_ended().expect("an end");
         assert!(ended.purpose == UNMAP);
-        assert_eq!(ended.is_done, is_done);
+        assert_eq!(ended.has_succeeded, has_succeeded);
         assert!(commands.next_ended().is_none());
         assert!(commands.take_late(COMMAND_TIMEOUT).is_empty());
     }
--- a/crates/catalog-service/src/node_connections.rs
+++ b/crates/catalog-service/src/node_connections.rs
@@ -18,7 +18,7 @@
     /// The command's tag.
     pub tag: u32,
     /// Whether the node has carried it out.
-    pub is_done: bool,
+    pub has_succeeded: bool,
 }
 
 /// The connections to the nodes of the configuration, which are known by their indices there. They are watched by
--- a/crates/catalog-service/src/node_events.rs
+++ b/crates/catalog-service/src/node_events.rs
@@ -34,7 +34,7 @@
     pub(crate) fn on_ended_commands(&mut self) {
         while let Some(ended) = self.node_commands.next_ended() {
             self.crash_points.pass();
-            if ended.is_done {
+            if ended.has_succeeded {
                 self.on_command_done(ended.purpose);
             } else {
                 self.on_command_failed(ended.purpose);
--- a/crates/catalog-service/src/outbox.rs
+++ b/crates/catalog-service/src/outbox.rs
@@ -9,7 +9,7 @@
 /// A host that has said hello, with the version of its replica, if it has one.
 pub(crate) struct Hello {
     pub(crate) host: HostId,
-    pub(crate) known: Option<TreeVersion>,
+    pub(crate) replica_version: Option<TreeVersion>,
 }
 
 enum Reply {
--- a/crates/catalog-service/src/stored_tree.rs
+++ b/crates/catalog-service/src/stored_tree.rs
@@ -75,11 +75,11 @@
 
     /// Sends a host what it lacks of the tree that is on disk: the changes since the version that it knows, if
     /// they are retained, else the full tree.
-    pub(crate) fn send_missing(&self, known: Option<TreeVersion>, host: &mut Host) {
+    pub(crate) fn send_missing(&self, replica_version: Option<TreeVersion>, host: &mut Host) {
         let catalog_id = self.catalog.id();
-        let missing = known
-            .filter(|known| known.catalog_id == catalog_id)
-            .and_then(|known| self.catalog.changes_since(known.version));
+        let missing = replica_version
+            .filter(|replica| replica.catalog_id == catalog_id)
+            .and_then(|replica| self.catalog.changes_since(replica.version));
         let Some(missing) = missing else {
             full_tree_messages(catalog_id, self.tree()).for_each(|part| host.send(&part));
             return;
@@ -124,13 +124,13 @@
 
     /// A node has unmapped an extent, which leaves the tree.
     pub(crate) fn on_unmapped(&mut self, layer: LayerId, extent: u32) {
-        self.reclaimer.completed((layer, extent));
+        self.reclaimer.release_completed((layer, extent));
         self.remove_extents(layer, vec![extent]);
     }
 
     /// A node has not unmapped an extent: it is retried.
     pub(crate) fn on_unmap_failed(&mut self, layer: LayerId, extent: u32, now: Millis) {
-        self.reclaimer.failed((layer, extent), now);
+        self.reclaimer.release_failed((layer, extent), now);
     }
 
     /// Removes layers without extents that nothing refers to.
--- a/crates/cow/src/copy_budget.rs
+++ b/crates/cow/src/copy_budget.rs
@@ -9,7 +9,7 @@
 /// Milliseconds between a failed copy and the next one of that extent.
 pub const RETRY_DELAY: Millis = 20;
 /// Milliseconds for which a host retains that a copy failed, if no write needs it again.
-pub const FAILURE_MEMORY: Millis = 5_000;
+pub const FAILURE_RETENTION: Millis = 5_000;
 /// Retries that may be in the budget: one for each copy that can be in flight.
 const MAX_RETRIES: f64 = MAX_CONCURRENT_COPIES as f64;
 /// What a successful copy adds to the budget: the retry ratio that the fleet is usually allowed.
--- a/crates/cow/src/messages.rs
+++ b/crates/cow/src/messages.rs
@@ -30,8 +30,8 @@
 }
 
 impl From<TreeVersion> for (u64, u64) {
-    fn from(known: TreeVersion) -> (u64, u64) {
-        (known.catalog_id, known.version)
+    fn from(tree_version: TreeVersion) -> (u64, u64) {
+        (tree_version.catalog_id, tree_version.version)
     }
 }
 
@@ -45,7 +45,7 @@
         host: String,
         /// The version of its replica, if it has one.
         #[serde(rename = "have", default)]
-        known: Option<TreeVersion>,
+        replica_version: Option<TreeVersion>,
     },
     /// Asks for a longer lease.
     #[serde(rename = "renew")]
--- a/crates/cow/src/reclaim.rs
+++ b/crates/cow/src/reclaim.rs
@@ -153,14 +153,14 @@
         self.in_flight.insert(layer_extent).then_some(layer_extent)
     }
 
-    /// A node has released a location.
-    pub fn completed(&mut self, extent: LayerExtent) {
+    /// Records that a node has released a location.
+    pub fn release_completed(&mut self, extent: LayerExtent) {
         self.in_flight.remove(&extent);
         self.unreachable_since.remove(&extent);
     }
 
-    /// A node did not release a location: it is retried.
-    pub fn failed(&mut self, extent: LayerExtent, now: Millis) {
+    /// Records that a node has not released a location, which is retried.
+    pub fn release_failed(&mut self, extent: LayerExtent, now: Millis) {
         if self.in_flight.remove(&extent)
             && let Some(version) = self.unreachable_since.get(&extent)
         {
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -65,7 +65,7 @@
 
     /// The version of the replica; the host sends it to the catalog when a connection opens.
     #[must_use]
-    pub fn known(&self) -> Option<TreeVersion> {
+    pub fn tree_version(&self) -> Option<TreeVersion> {
         let tree = self.tree.as_ref()?;
         Some(TreeVersion {
             catalog_id: self.catalog_id.unwrap_or(NO_CATALOG),
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -204,9 +204,9 @@
         let host = &mut self.hosts[host];
         self.record.numbers(
             host.replica
-                .known()
+                .tree_version()
                 .into_iter()
-                .flat_map(|known| [known.catalog_id, known.version]),
+                .flat_map(|replica| [replica.catalog_id, replica.version]),
         );
         for message in full_tree_messages(7, &self.tree) {
             let valid = match message {
@@ -502,9 +502,9 @@
         for (layer, extent) in std::mem::take(&mut self.in_flight) {
             match self.rng.below(4) {
                 0 => self.in_flight.push((layer, extent)),
-                1 => self.reclaimer.failed((layer, extent), self.now),
+                1 => self.reclaimer.release_failed((layer, extent), self.now),
                 _ => {
-                    self.reclaimer.completed((layer, extent));
+                    self.reclaimer.release_completed((layer, extent));
                     self.apply(&Change::ExtentsReclaimed {
                         layer,
                         extents: vec![extent],
@@ -708,7 +708,7 @@
         (
             copy_budget::MAX_CONCURRENT_COPIES,
             copy_budget::RETRY_DELAY,
-            copy_budget::FAILURE_MEMORY
+            copy_budget::FAILURE_RETENTION
         ),
         (8, 20, 5_000)
     );
@@ -816,7 +816,7 @@
         extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         Vec::<u32>::new()
     );
-    (256..266).for_each(|extent| free.completed((1_024, extent)));
+    (256..266).for_each(|extent| free.release_completed((1_024, extent)));
     assert_eq!(
         extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         (320..330).collect::<Vec<_>>()
--- a/crates/cow/tests/pinned_messages.rs
+++ b/crates/cow/tests/pinned_messages.rs
@@ -19,16 +19,16 @@
 
 #[test]
 fn messages_to_the_catalog() {
-    let hello = |known| ToCatalog::Hello {
+    let hello = |replica_version| ToCatalog::Hello {
         host: "h1".into(),
-        known,
+        replica_version,
     };
-    let known = TreeVersion {
+    let replica_version = TreeVersion {
         catalog_id: 7,
         version: 9,
     };
     pinned(
-        &hello(Some(known)),
+        &hello(Some(replica_version)),
         r#"{"hello":{"host":"h1","have":[7,9]}}"#,
     );
     pinned(&hello(None), r#"{"hello":{"host":"h1","have":null}}"#);
--- a/crates/cow/tests/reclaim.rs
+++ b/crates/cow/tests/reclaim.rs
@@ -126,7 +126,7 @@
     assert_eq!(catalog.next_batch(&[], 100, 119), []);
     assert_eq!(catalog.next_batch(&[], 100, 120), [(1024, 4), (1024, 5)]);
     assert_eq!(catalog.next_batch(&[], 100, 500), [], "both are in flight");
-    catalog.reclaimer.failed((1024, 5), 500);
+    catalog.reclaimer.release_failed((1024, 5), 500);
     assert_eq!(catalog.next_batch(&[], 100, 600), [(1024, 5)]);
 }
 
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -75,7 +75,7 @@
         let finished = self.nodes.next_finished()?;
         Some(FinishedCommand {
             tag: finished.tag,
-            is_done: finished.result == AttemptResult::Completed,
+            has_succeeded: finished.result == AttemptResult::Completed,
         })
     }
 
--- a/crates/iscsi-host/src/catalog_client.rs
+++ b/crates/iscsi-host/src/catalog_client.rs
@@ -134,7 +134,7 @@
                 self.slots_requested.clear();
                 let hello = ToCatalog::Hello {
                     host: self.host.clone(),
-                    known: self.replica.known(),
+                    replica_version: self.replica.tree_version(),
                 };
                 self.send(&hello);
             }
--- a/crates/iscsi-host/src/dispatcher/extent_copies.rs
+++ b/crates/iscsi-host/src/dispatcher/extent_copies.rs
@@ -6,7 +6,7 @@
 use super::volumes::VolumeIndex;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::Millis;
-use mallowseam_cow::copy_budget::{CopyBudget, FAILURE_MEMORY, RETRY_DELAY};
+use mallowseam_cow::copy_budget::{CopyBudget, FAILURE_RETENTION, RETRY_DELAY};
 use mallowseam_cow::tree::{LayerExtent, Location, Tree};
 use mallowseam_cow::tree_replica::RESEND_AFTER;
 use mallowseam_iscsi::initiator::Payload;
@@ -241,7 +241,7 @@
                 !settled
             }
             CopyState::Failed { retry_at } => {
-                !is_settled(extent) && now < *retry_at + FAILURE_MEMORY
+                !is_settled(extent) && now < *retry_at + FAILURE_RETENTION
             }
             CopyState::Reading | CopyState::Writing => true,
         });
