--- a/crates/cow/src/consistent_cut.rs
+++ b/crates/cow/src/consistent_cut.rs
@@ -1,63 +1,64 @@
-//! When a snapshot may be granted.
+//! Decides when a snapshot may be granted.
 //!
-//! A cut freezes the head in the tree first; then every node that holds a location through which the snapshot is read
-//! closes its layer to writes. A cut is granted if all of them have closed within the timeout; otherwise it fails and
-//! no snapshot is created. The frozen layer stays frozen: that is always safe, while reopening closed layers is not,
-//! since late writes may be in flight.
+//! A consistent cut first freezes the head of a branch in the tree. Then every node that holds a location that is read
+//! through the snapshot closes the layer of that location to writes. The cut is granted if all these nodes have closed
+//! their layers within the timeout; otherwise it fails and no snapshot is created. The frozen layer stays frozen: that
+//! is always safe, while reopening closed layers is not, since late writes may be in flight.
 use crate::Millis;
 use crate::tree::{Change, ChangeError, LayerId, Tree};
 use std::collections::BTreeSet;
 
-/// Milliseconds within which a snapshot is granted or fails: a healthy node closes a layer at once, and an operator
-/// would not wait longer for one that does not answer.
+/// Time within which a snapshot is granted or fails, in milliseconds. A healthy node closes a layer at once, and an
+/// operator would not wait longer for a node that does not answer.
 pub const CUT_TIMEOUT: Millis = 5_000;
 
 /// Why a snapshot failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CutFailure {
-    /// The tree does not allow it.
+    /// The state of the tree does not allow the snapshot.
     #[error(transparent)]
     Rejected(#[from] ChangeError),
-    /// These nodes have not closed their layers in time.
+    /// The nodes with these indices have not closed their layers in time.
     #[error("not closed in time by nodes {0:?}")]
     NodesNotClosed(BTreeSet<u32>),
-    /// These hosts have writes of several parts in flight, or do not say that they have none.
+    /// The named hosts have split writes in flight, or have not confirmed that they have none.
     #[error("writes under way at {0:?}")]
     HostsNotQuiesced(BTreeSet<String>),
 }
 
-/// A requested snapshot that is not granted yet.
+/// A snapshot that was requested and is not granted yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConsistentCut {
-    /// The branch that it shows.
+    /// Branch that the snapshot shows.
     pub branch: String,
-    /// Its name within the branch.
+    /// Name of the snapshot within the branch.
     pub name: String,
-    /// The frozen layer.
+    /// Layer that the cut has frozen.
     pub layer: LayerId,
-    /// Hosts that have not confirmed yet that no incomplete write of theirs has a part in the layer.
+    /// Hosts that have not confirmed yet that no incomplete split write of theirs has a part in `layer`.
     unquiesced_hosts: BTreeSet<String>,
-    /// An incomplete write has a part in the layer, and is being completed in a later one.
+    /// Whether an incomplete split write has a part in `layer`, and is being completed in a later layer.
     is_stale: bool,
+    /// Time at which the cut fails unless it is granted.
     deadline: Millis,
 }
 
-/// What is to be done for a cut now.
+/// The next step of a cut.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CutProgress {
-    /// Nodes or hosts still have to answer.
+    /// Wait for nodes or hosts that still have to answer.
     Wait,
-    /// Every host has completed its writes with a part in the layer: freeze the present head instead.
+    /// Freeze the current head instead: every host has completed its writes with a part in the layer of the cut.
     Restart,
     /// Apply this change, which creates the snapshot.
     Grant(Change),
-    /// Give the cut up.
+    /// Abort the cut.
     Fail(CutFailure),
 }
 
 impl ConsistentCut {
     /// Begins a cut. Returns the change that freezes the head, and the cut, which starts once that change is on disk.
-    /// `hosts`: those that may act.
+    /// `hosts`: the hosts that may act.
     ///
     /// # Errors
     ///
@@ -76,7 +77,7 @@
             layer,
         };
         match tree.check(&grant) {
-            // The head is not frozen yet.
+            // `LayerNotAccepting` is expected: the head is not frozen yet.
             Ok(()) | Err(ChangeError::LayerNotAccepting(_)) => {}
             Err(error) => return Err(error.into()),
         }
@@ -95,27 +96,29 @@
         Ok((freeze, cut))
     }
 
-    /// A host has confirmed that it is quiesced for a layer.
+    /// Records that a host has confirmed that it is quiesced for a layer.
     pub fn host_quiesced(&mut self, layer: LayerId, host: &str) {
         if self.layer == layer {
             self.unquiesced_hosts.remove(host);
         }
     }
 
-    /// Hosts that still have to confirm. One whose lease has expired will complete no write and is not waited for.
+    /// Returns the hosts that still have to confirm that they are quiesced. A host whose lease has expired completes no
+    /// write any more, and is removed.
     pub fn unquiesced_hosts(&mut self, active_hosts: &BTreeSet<String>) -> &BTreeSet<String> {
         self.unquiesced_hosts
             .retain(|host| active_hosts.contains(host));
         &self.unquiesced_hosts
     }
 
-    /// An incomplete write has a part in the layer, and will be completed in the present head.
+    /// Records that an incomplete split write has a part in the layer of the cut, and will be completed in the current
+    /// head.
     pub fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// Restarts the cut after the writes that had a part in its layer: the change that freezes the present head. None:
-    /// the branch was deleted.
+    /// Restarts the cut after the completion of the writes that had a part in its layer. Returns the change that
+    /// freezes the current head, or `None` if the branch was deleted.
     pub fn restart(&mut self, tree: &Tree, hosts: BTreeSet<String>) -> Option<Change> {
         self.layer = tree.branch(&self.branch).ok()?.head;
         self.unquiesced_hosts = hosts;
@@ -125,7 +128,7 @@
         })
     }
 
-    /// What is to be done now.
+    /// Returns the next step of the cut.
     #[must_use]
     pub fn progress(&self, tree: &Tree, now: Millis) -> CutProgress {
         let is_late = now >= self.deadline;
@@ -170,17 +173,18 @@
     }
 }
 
-/// The answer to a host that asks to complete a write in the present head.
+/// The answer to a host that asks to complete a split write in the current head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletionDecision {
-    /// Whether it may: no snapshot was granted since the write began.
+    /// Whether the write may be completed: no snapshot was granted since it began.
     pub is_granted: bool,
-    /// The layers from that of the write up to the present head, without the head: pending cuts of these become stale.
+    /// Layers from that of the write up to the current head, without the head. Pending cuts of these layers become
+    /// stale.
     pub frozen_layers: BTreeSet<LayerId>,
 }
 
-/// Whether a write with parts in a layer may be completed in the present head. None: no branch is read through the
-/// layer.
+/// Decides whether a split write with parts in a layer may be completed in the current head. Returns `None` if no
+/// branch is read through the layer.
 #[must_use]
 pub fn decide_completion(tree: &Tree, layer: LayerId) -> Option<CompletionDecision> {
     let reads_layer = |head: LayerId| tree.ancestors(head).any(|(id, _)| id == layer);
@@ -191,12 +195,12 @@
         .find(|head| reads_layer(*head))?;
     let chain = tree.ancestors(head).map(|(id, _)| id);
     let frozen_layers: BTreeSet<LayerId> = chain.filter(|id| *id != head && *id >= layer).collect();
-    let snapshot_between = tree
+    let has_snapshot_between = tree
         .snapshots
         .values()
         .any(|snapshot| frozen_layers.contains(&snapshot.layer));
     Some(CompletionDecision {
-        is_granted: !snapshot_between,
+        is_granted: !has_snapshot_between,
         frozen_layers,
     })
 }
--- a/crates/cow/src/messages.rs
+++ b/crates/cow/src/messages.rs
@@ -1,22 +1,23 @@
-//! The messages between hosts and catalog: one JSON object a line. Hosts and catalog of different releases
+//! The messages between hosts and the catalog: one JSON value per line. Hosts and catalogs of different releases
 //! exchange them, so `serde(rename)` keeps the names on the wire.
 use crate::Millis;
 use crate::tree::{Change, ExtentLocation, LayerId, Location, Tree};
 use serde::{Deserialize, Serialize};
 
-/// Id that no catalog has. A host whose replica contradicts the catalog sends it in its [`TreeVersion`], so that the
-/// full tree follows.
+/// Id that no catalog has. A host whose replica contradicts the catalog sends this id in its [`TreeVersion`], so that
+/// the catalog sends the full tree.
 pub const NO_CATALOG: u64 = 0;
-/// Locations in one message: some tens of kilobytes, read between two block I/Os without a noticeable delay.
+/// Maximum number of locations in one message. A message of this size has some tens of kilobytes, and a host can read
+/// it between two block I/Os without a noticeable delay.
 const LOCATIONS_PER_MESSAGE: usize = 1_000;
 
-/// The tree of which a host has a replica. Sent as a JSON array of two.
+/// The catalog and version of the tree of which a host has a replica, sent as a JSON array of the two numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct TreeVersion {
-    /// Id of the catalog, or [`NO_CATALOG`]: the trees of two catalogs have nothing in common.
+    /// Id of the catalog, or [`NO_CATALOG`]. The trees of two catalogs have nothing in common.
     pub catalog_id: u64,
-    /// Changes applied to it.
+    /// Version of the tree: the number of changes applied to it.
     pub version: u64,
 }
 
@@ -39,58 +40,58 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ToCatalog {
-    /// Opens a connection. The changes that the host lacks follow, or the full tree.
+    /// Opens a connection. The catalog answers with the changes that the host lacks, or with the full tree.
     Hello {
         /// Name of the host.
         host: String,
-        /// The version of its replica, if it has one.
+        /// Version of the host's replica, if it has one.
         #[serde(rename = "have", default)]
         replica_version: Option<TreeVersion>,
     },
-    /// Asks for a longer lease.
+    /// Requests a renewal of the host's lease.
     #[serde(rename = "renew")]
     RenewLease {
-        /// By the host's own clock, which the answer repeats.
+        /// When the host sent the request, by its own clock. The answer repeats this time.
         #[serde(rename = "sent")]
         sent_at: Millis,
         /// Version of the tree that the host acts on.
         #[serde(rename = "seen")]
         seen_version: u64,
     },
-    /// The host acts on this version of the tree from now on.
+    /// Reports that the host acts on a version of the tree from now on.
     #[serde(rename = "seen")]
     Acknowledge {
-        /// The version.
+        /// Version of the tree.
         version: u64,
     },
-    /// Asks for slots, for the locations of first writes.
+    /// Requests slots for the locations of first writes.
     #[serde(rename = "numbers")]
     AllocateSlots {
-        /// The head layer that the slots are for.
+        /// Head layer that the slots are for.
         layer: LayerId,
         /// Number of slots.
         count: u32,
     },
-    /// No write of several parts is in flight any more that may have a part in this layer.
+    /// Reports that the host has no split write in flight any more that may have a part in a layer.
     #[serde(rename = "clear")]
     Quiesced {
-        /// The layer.
+        /// Layer that was frozen by a cut.
         layer: LayerId,
     },
-    /// A write has parts in this layer. Asks whether the rest of it may go to the present head.
+    /// Asks whether the remaining parts of a split write that has parts in a layer may go to the current head.
     #[serde(rename = "leave")]
     RequestCompletion {
-        /// The oldest layer with a part of the write.
+        /// Oldest layer with a part of the write.
         layer: LayerId,
     },
-    /// An extent has been copied to a location.
+    /// Reports that an extent has been copied to a location, and asks for that location to be accepted.
     #[serde(rename = "placed")]
     ProposeLocation {
-        /// The head layer.
+        /// Head layer into which the extent was copied.
         layer: LayerId,
-        /// The extent.
+        /// Index of the extent.
         extent: u32,
-        /// Where the copy is.
+        /// Location of the copy.
         #[serde(rename = "place")]
         location: Location,
     },
@@ -100,94 +101,95 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ToHost {
-    /// Begins a full tree: without its locations, which follow in parts, then `FullTreeEnd`. Until then the host acts
-    /// on the tree that it had before.
+    /// Begins a full tree. Its locations follow in messages of their own, then `FullTreeEnd`; until that one the host
+    /// acts on the tree that it had before.
     #[serde(rename = "whole")]
     FullTree {
         /// Id of the catalog.
         #[serde(rename = "catalog")]
         catalog_id: u64,
-        /// The tree without locations.
+        /// The tree without its locations.
         tree: Box<Tree>,
     },
-    /// Some locations of the tree that is being sent.
+    /// Sends some locations of one layer of a full tree.
     #[serde(rename = "part")]
     Locations {
-        /// The layer that they belong to.
+        /// Layer that the locations belong to.
         layer: LayerId,
-        /// The locations.
+        /// Locations of the layer, with the extents that are stored there.
         #[serde(rename = "lies")]
         locations: Vec<ExtentLocation>,
     },
-    /// The full tree is complete.
+    /// Ends a full tree: all its locations have been sent.
     #[serde(rename = "filled")]
     FullTreeEnd,
-    /// All changes that the host lacked have been sent.
+    /// Reports that all changes that the host lacked have been sent.
     #[serde(rename = "going")]
     CaughtUp,
-    /// The tree has changed.
+    /// Sends one change of the tree.
     #[serde(rename = "changed")]
     TreeChanged {
         /// Version of the tree after the change.
         version: u64,
-        /// The change.
+        /// Change that leads to that version.
         change: Change,
     },
-    /// Extends the host's lease.
+    /// Grants the host a lease.
     #[serde(rename = "lease")]
     LeaseGranted {
         /// When the host sent its request, by its own clock.
         #[serde(rename = "sent")]
         sent_at: Millis,
-        /// How long the lease lasts from then on.
+        /// Duration of the lease, which begins at `sent_at`.
         #[serde(rename = "span")]
         duration: Millis,
     },
-    /// The host owns these slots of a layer.
+    /// Allocates slots of a layer to the host.
     #[serde(rename = "numbers")]
     SlotsAllocated {
-        /// The layer.
+        /// Layer that the slots belong to.
         layer: LayerId,
-        /// The first slot.
+        /// First of the slots.
         first: u32,
         /// Number of slots.
         count: u32,
     },
-    /// Asks the host to begin no write of several parts on a branch, and to say `Quiesced` as soon as none in flight
-    /// may have a part in the layer.
+    /// Asks the host to begin no split write on a branch, and to send `Quiesced` as soon as no split write in flight
+    /// may have a part in a layer.
     #[serde(rename = "ask-clear")]
     Quiesce {
-        /// The layer that was frozen.
+        /// Layer that was frozen by a cut.
         layer: LayerId,
-        /// The branch.
+        /// Name of the branch.
         branch: String,
     },
-    /// No cut of this branch is pending any more.
+    /// Reports that no cut of a branch is pending any more.
     #[serde(rename = "over")]
     CutFinished {
-        /// The branch.
+        /// Name of the branch.
         branch: String,
     },
-    /// Whether a write with parts in this layer may be completed in the present head.
+    /// Decides whether a split write with parts in a layer may be completed in the current head.
     #[serde(rename = "leave")]
     CompletionDecision {
-        /// The layer that the host asked for.
+        /// Layer that the host named in its request.
         layer: LayerId,
-        /// Whether it may.
+        /// Whether the write may be completed.
         #[serde(rename = "given")]
         granted: bool,
     },
-    /// A location was not accepted: another host was first, or the layer is frozen. The change that says so follows.
+    /// Rejects the location that the host has proposed for an extent: another host was first, or the layer is frozen.
+    /// The change that shows which follows.
     #[serde(rename = "not-placed")]
     LocationRejected {
-        /// The layer.
+        /// Layer of the proposed location.
         layer: LayerId,
-        /// The extent.
+        /// Index of the extent.
         extent: u32,
     },
 }
 
-/// The messages that send a full tree to a host.
+/// Returns the messages that send a full tree to a host.
 pub fn full_tree_messages(catalog_id: u64, tree: &Tree) -> impl Iterator<Item = ToHost> + '_ {
     let begin = ToHost::FullTree {
         catalog_id,
--- a/crates/cow/src/reclaim.rs
+++ b/crates/cow/src/reclaim.rs
@@ -1,47 +1,50 @@
-//! When unreachable locations may be released. Two conditions hold by then: no host acts any more on a tree in which
-//! they are reachable, and every block I/O that a host has sent on the basis of such a tree is past its deadline.
-//! Locations are released in small batches, so that nodes keep capacity for clients.
+//! Decides when unreachable locations may be released. A location is released only once no host acts any more on a
+//! tree in which it is reachable, and every block I/O that a host has sent on the basis of such a tree is past its
+//! deadline. Locations are released in small batches, so that nodes keep capacity for clients.
 use crate::Millis;
 use crate::leases::HostLeases;
 use crate::tree::{ChangeEffects, LayerExtent, LayerId, Tree};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Extents released at once: a node takes some milliseconds for as many.
+/// Maximum number of releases in flight. A node takes some milliseconds to release this many extents.
 pub const BATCH_SIZE: usize = 64;
-/// Entries of the queue that one call examines.
-const MAX_SCANNED: usize = BATCH_SIZE * 4;
+/// Maximum number of queue entries that one call of [`Reclaimer::next_batch`] examines.
+const MAX_SCANNED_ENTRIES: usize = BATCH_SIZE * 4;
 
-/// A location that waits for its version to be effective.
+/// An unreachable location. The version at which it became unreachable is not effective yet.
 #[derive(Clone, Copy)]
 struct Unreachable {
     version: u64,
     extent: LayerExtent,
 }
 
-/// A location whose version is effective, since `effective_at` as far as the catalog knows.
+/// An unreachable location. The version at which it became unreachable is effective, and the catalog has known so
+/// since `effective_at`.
 struct Ready {
     effective_at: Millis,
     version: u64,
     extent: LayerExtent,
 }
 
-/// Unreachable locations that are to be released. Each step examines only those that are due, however many wait.
+/// The unreachable locations that are to be released. Each step examines only the locations that are due, however many
+/// are pending.
 #[derive(Default)]
 pub struct Reclaimer {
-    /// Version at which each location was last found to be unreachable. Only the entry of a queue with this version
-    /// is valid: a location that was reachable again in between has to wait again.
+    /// Version at which each location was last found to be unreachable. Only the queue entry with this version is
+    /// valid: a location that was reachable again in the meantime has to wait again.
     unreachable_since: BTreeMap<LayerExtent, u64>,
-    /// In order of versions: those whose version is not effective yet.
+    /// Locations whose version is not effective yet, in order of versions.
     waiting: VecDeque<Unreachable>,
-    /// In order of the time since which their version is effective.
+    /// Locations whose version is effective, in order of the time since which it is.
     ready: VecDeque<Ready>,
+    /// Locations whose release is in flight.
     in_flight: BTreeSet<LayerExtent>,
-    /// Layers that may be empty.
+    /// Layers that may have no locations and no references any more.
     maybe_empty: BTreeSet<LayerId>,
 }
 
 impl Reclaimer {
-    /// A reclaimer of everything that is unreachable in a tree that has just been opened.
+    /// Returns a reclaimer of everything that is unreachable in a tree that has just been opened.
     #[must_use]
     pub fn from_tree(tree: &Tree) -> Reclaimer {
         let mut reclaimer = Reclaimer::default();
@@ -59,7 +62,7 @@
         self.waiting.push_back(Unreachable { version, extent });
     }
 
-    /// Records what a change has made unreachable; `tree` is the one after the change.
+    /// Records the locations that a change has made unreachable. `tree` is the tree after the change.
     pub fn record_change(&mut self, tree: &Tree, effects: &ChangeEffects) {
         for extent in tree.newly_unreachable(effects) {
             self.enqueue(tree.version, extent);
@@ -72,11 +75,11 @@
         );
     }
 
-    /// The next batch to release.
+    /// Returns the next batch of locations to release.
     ///
-    /// `retained`: layers of cuts that are not granted yet. Without them a first write in the new head would hide a
-    /// location of the cut, and the snapshot would lose it. `max_in_flight`: the longest time that anything sent by
-    /// an older tree can still take.
+    /// `retained`: the frozen layers of cuts that are not granted yet. If they were not retained, the first write of
+    /// an extent in the new head would hide the location that the cut needs, and the snapshot would lose it.
+    /// `max_in_flight`: the longest time that a block I/O that was sent on the basis of an older tree can still take.
     pub fn next_batch(
         &mut self,
         tree: &Tree,
@@ -88,7 +91,7 @@
         self.promote_effective(leases, now);
         let mut batch = Vec::new();
         // A retained location goes to the back of the queue, and is not examined twice in one call.
-        for _ in 0..self.ready.len().min(MAX_SCANNED) {
+        for _ in 0..self.ready.len().min(MAX_SCANNED_ENTRIES) {
             if self.in_flight.len() >= BATCH_SIZE {
                 break;
             }
@@ -105,7 +108,7 @@
         batch
     }
 
-    /// Moves on the locations whose version has become effective.
+    /// Moves the locations whose version has become effective from `waiting` to `ready`.
     fn promote_effective(&mut self, leases: &HostLeases, now: Millis) {
         while let Some(entry) = self
             .waiting
@@ -120,7 +123,7 @@
         }
     }
 
-    /// The location of a queue entry if it may be released now.
+    /// Returns the location of a queue entry, and marks its release as in flight, if it may be released now.
     fn release(
         &mut self,
         tree: &Tree,
@@ -138,7 +141,8 @@
         }
         let (layer, extent) = layer_extent;
         if !tree.is_unreachable(layer, extent, &BTreeSet::new()) {
-            // Already released, or read by a snapshot that was granted since. Deleting that snapshot enqueues it again.
+            // The location is already released, or it is read by a snapshot that was granted in the meantime. Deleting
+            // that snapshot enqueues the location again.
             self.unreachable_since.remove(&layer_extent);
             return None;
         }
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Empty layers that nothing refers to.
+    /// Returns the layers that have no locations and that nothing refers to, except retained layers.
     pub fn removable_layers(&mut self, tree: &Tree, retained: &BTreeSet<LayerId>) -> Vec<LayerId> {
         self.maybe_empty
             .retain(|layer| tree.layers.contains_key(layer) && !tree.is_referenced(*layer));
@@ -180,7 +184,7 @@
         self.maybe_empty.iter().copied().filter(removable).collect()
     }
 
-    /// Number of locations that wait to be released.
+    /// Returns the number of unreachable locations that are not released yet.
     #[must_use]
     pub fn pending_count(&self) -> usize {
         self.unreachable_since.len()
--- a/crates/cow/src/tree/apply.rs
+++ b/crates/cow/src/tree/apply.rs
@@ -1,4 +1,4 @@
-//! The tree after a change.
+//! Applies changes to a tree.
 use super::{
     Branch, Change, ChangeEffects, ChangeError, FIRST_LAYER_ID, Layer, LayerId, Location, Snapshot,
     Tree,
@@ -9,7 +9,7 @@
     ///
     /// # Errors
     ///
-    /// Why the change does not fit the tree, which is then unchanged.
+    /// Returns why the change does not fit the tree, which is then unchanged.
     pub fn apply(&mut self, change: &Change) -> Result<ChangeEffects, ChangeError> {
         self.check(change)?;
         self.version += 1;
@@ -18,7 +18,8 @@
         Ok(effects)
     }
 
-    /// Makes a change that `check` allows. Longer than other functions, as it has one arm for each change.
+    /// Applies a change that `check` has accepted. This function is longer than others, as it has one arm for each kind
+    /// of change.
     fn apply_checked(&mut self, change: &Change, effects: &mut ChangeEffects) {
         match change {
             Change::BranchCreated {
@@ -62,18 +63,18 @@
         }
     }
 
-    /// A layer that `check` has found.
+    /// Returns a layer that `check` has found.
     fn checked_layer(&mut self, id: LayerId) -> &mut Layer {
         self.layers.get_mut(&id).expect("check has found the layer")
     }
 
-    /// The head of a branch that `check` has found.
+    /// Returns the head of a branch that `check` has found.
     fn checked_head(&self, branch: &str) -> LayerId {
         let branch = self.branches.get(branch);
         branch.expect("check has found the branch").head
     }
 
-    /// A snapshot that `check` has found.
+    /// Returns a snapshot that `check` has found.
     fn checked_snapshot(&self, name: &str) -> &Snapshot {
         let snapshot = self.snapshots.get(name);
         snapshot.expect("check has found the snapshot")
@@ -180,7 +181,7 @@
         self.snapshots.insert(full_name, snapshot);
     }
 
-    /// Gives a branch a new head that has a layer as its parent, and freezes the old head, which is returned.
+    /// Gives a branch a new head with the parent `parent`, and freezes the old head. Returns the old head.
     fn replace_head(
         &mut self,
         branch: &str,
@@ -240,14 +241,14 @@
         }
     }
 
-    /// Removes a layer; its children become those of its parent.
+    /// Removes a layer; its children become children of its parent.
     fn remove_layer(&mut self, layer_id: LayerId, effects: &mut ChangeEffects) {
         let parent = self.layers.remove(&layer_id).and_then(|layer| layer.parent);
         effects.layers.insert(layer_id);
         for child in self.index.remove_layer(layer_id, parent) {
             self.layers
                 .get_mut(&child)
-                .expect("the index has as children only layers of the tree")
+                .expect("each child in the index is a layer of the tree")
                 .parent = parent;
             effects.layers.insert(child);
         }
--- a/crates/cow/src/tree/change.rs
+++ b/crates/cow/src/tree/change.rs
@@ -1,9 +1,10 @@
-//! The numbered changes that lead from one tree to the next, and what each of them has affected.
+//! The numbered changes that lead from one tree to the next, and the effects of each change.
 use super::model::{LayerExtent, LayerId, Location};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// One change of the tree. Catalog and hosts apply the same changes in the same order and so hold the same tree.
+/// One change of the tree. The catalog and the hosts apply the same changes in the same order, so they hold the same
+/// tree.
 ///
 /// Changes are stored and sent as JSON: `serde(rename)` keeps the stored names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -13,16 +14,16 @@
     BranchCreated {
         /// Name of the new branch.
         branch: String,
-        /// Its size in extents.
+        /// Size of the branch in extents.
         #[serde(rename = "extents")]
         extent_count: u32,
     },
     /// Allocates slots of a layer to a host.
     #[serde(rename = "Numbers")]
     SlotsAllocated {
-        /// The layer.
+        /// Layer that the slots belong to.
         layer: LayerId,
-        /// The first slot.
+        /// First of the slots.
         first: u32,
         /// Number of slots.
         count: u32,
@@ -30,95 +31,97 @@
     /// Gives an extent its location in a layer.
     #[serde(rename = "Placed")]
     ExtentPlaced {
-        /// The head layer of a branch.
+        /// Head layer of a branch.
         layer: LayerId,
-        /// The extent.
+        /// Index of the extent.
         extent: u32,
-        /// Where it is stored from now on.
+        /// Location where the extent is stored from now on.
         #[serde(rename = "place")]
         location: Location,
     },
     /// Allows writes to the location of an extent.
     #[serde(rename = "Opened")]
     ExtentWritable {
-        /// The layer.
+        /// Layer that holds the location.
         layer: LayerId,
-        /// The extent.
+        /// Index of the extent.
         extent: u32,
     },
-    /// Freezes the head of a branch and puts a new head under it.
+    /// Freezes the head of a branch and creates a new head with the frozen one as its parent.
     #[serde(rename = "Cut")]
     HeadFrozen {
-        /// The branch.
+        /// Name of the branch.
         branch: String,
     },
-    /// A node has closed a frozen layer to writes.
+    /// Records that a node has closed a frozen layer to writes.
     #[serde(rename = "Closed")]
     LayerClosed {
-        /// The layer.
+        /// Layer that was closed.
         layer: LayerId,
-        /// The node.
+        /// Index of the storage node.
         node: u32,
     },
     /// Grants a snapshot: gives a frozen layer a name.
     #[serde(rename = "Named")]
     SnapshotCreated {
-        /// The branch that it shows.
+        /// Name of the branch that the snapshot shows.
         branch: String,
-        /// Its name within the branch.
+        /// Name of the snapshot within the branch.
         name: String,
-        /// The frozen layer.
+        /// Frozen layer of the snapshot.
         layer: LayerId,
     },
-    /// Creates a branch that starts as a snapshot.
+    /// Creates a branch that starts with the data of a snapshot.
     #[serde(rename = "Cloned")]
     CloneCreated {
-        /// The snapshot, as `branch@name`.
+        /// Full name of the snapshot, `branch@name`.
         snapshot: String,
         /// Name of the new branch.
         branch: String,
     },
-    /// Abandons the head of a branch for a new one under a snapshot of it.
+    /// Replaces the head of a branch by a new one whose parent is the layer of a snapshot of the branch.
     #[serde(rename = "RolledBack")]
     BranchRolledBack {
-        /// The branch.
+        /// Name of the branch.
         branch: String,
-        /// The snapshot, as `branch@name`.
+        /// Full name of the snapshot, `branch@name`.
         snapshot: String,
     },
     /// Deletes a snapshot.
     SnapshotDeleted {
-        /// The snapshot, as `branch@name`.
+        /// Full name of the snapshot, `branch@name`.
         snapshot: String,
     },
     /// Deletes a branch without snapshots.
     BranchDeleted {
-        /// The branch.
+        /// Name of the branch.
         branch: String,
     },
-    /// Nodes have released locations of a layer. A layer without locations that nothing refers to is removed.
+    /// Removes locations of a layer that nodes have released. A layer without locations that nothing refers to is
+    /// removed.
     #[serde(rename = "Freed")]
     ExtentsReclaimed {
-        /// The layer.
+        /// Layer that held the locations.
         layer: LayerId,
-        /// Extents whose locations were released; none to remove an empty layer.
+        /// Extents whose locations were released; empty to remove an empty layer.
         extents: Vec<u32>,
     },
 }
 
-/// What a change has affected: a store writes the present state of these records, or deletes those that no longer exist.
+/// The records that a change has affected. A store writes the current state of these records, or deletes those that no
+/// longer exist.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangeEffects {
-    /// Layers, but for their locations.
+    /// Affected layers, apart from their locations.
     pub layers: BTreeSet<LayerId>,
-    /// Locations, by layer and extent.
+    /// Affected locations, by layer and extent.
     pub locations: Vec<LayerExtent>,
-    /// Branches, by name.
+    /// Names of affected branches.
     pub branches: Vec<String>,
-    /// Snapshots, by `branch@name`.
+    /// Full names of affected snapshots, `branch@name`.
     pub snapshots: Vec<String>,
-    /// A layer to which a branch or a snapshot referred before and does not any more.
+    /// Layer to which a branch or a snapshot referred before the change and does not any more.
     pub dereferenced: Option<LayerId>,
-    /// An extent that has a location now which hides those of the ancestors.
+    /// Extent with a new location, which hides those in the ancestors of its layer.
     pub placed: Option<LayerExtent>,
 }
--- a/crates/cow/src/tree/consistency.rs
+++ b/crates/cow/src/tree/consistency.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole tree: for stores that were just opened, for `verify`, and for tests.
+//! Checks of a full tree: for stores that were just opened, for `verify`, and for tests.
 use super::index::Index;
 use super::{Layer, LayerId, Snapshot, Tree};
 use std::collections::BTreeSet;
@@ -6,44 +6,45 @@
 /// A rule that a tree breaks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Inconsistency {
-    /// The index differs from one that is built from the layers and names.
-    #[error("the index does not match the layers")]
+    /// The index of the tree differs from an index that is built from its layers, branches and snapshots.
+    #[error("index of the tree does not match its layers, branches and snapshots")]
     StaleIndex,
-    /// The parent is missing or takes writes.
-    #[error("layer {0}: its parent is missing or not frozen")]
+    /// The parent of the layer is missing or not frozen.
+    #[error("parent of layer {0} is missing or not frozen")]
     InvalidParent(LayerId),
-    /// Parents are created first, so that no layer can be its own ancestor.
-    #[error("layer {0}: its parent is a later layer")]
+    /// The parent of the layer was created later than the layer. Parents are created first, so that no layer can be its
+    /// own ancestor.
+    #[error("parent of layer {0} was created later than the layer")]
     ParentIsLater(LayerId),
-    /// A location with a slot that was not allocated.
-    #[error("layer {layer} extent {extent}: its slot was never allocated")]
+    /// The location of the extent has a slot that was never allocated.
+    #[error("layer {layer} has extent {extent} in a slot that was never allocated")]
     SlotNotAllocated {
-        /// The layer.
+        /// Id of the layer.
         layer: LayerId,
-        /// The extent.
+        /// Index of the extent.
         extent: u32,
     },
     /// Two extents of a layer have the same location.
-    #[error("layer {layer} extent {extent}: another extent has the same location")]
+    #[error("layer {layer} has extent {extent} at the same location as another extent")]
     SharedLocation {
-        /// The layer.
+        /// Id of the layer.
         layer: LayerId,
-        /// The extent.
+        /// Index of the second of the two extents.
         extent: u32,
     },
     /// The head of the branch is missing or frozen.
-    #[error("branch {0}: its head is missing or frozen")]
+    #[error("head layer of branch `{0}` is missing or frozen")]
     InvalidHead(String),
-    /// The layer of the snapshot is missing or takes new locations.
-    #[error("snapshot {0}: its layer is missing or not frozen")]
+    /// The layer of the snapshot is missing or not frozen.
+    #[error("layer of snapshot `{0}` is missing or not frozen")]
     SnapshotNotFrozen(String),
-    /// A node that holds locations of the snapshot has not closed their layer.
-    #[error("snapshot {0}: can still be written to")]
+    /// A node that holds locations of the snapshot has not closed their layer to writes.
+    #[error("snapshot `{0}` has locations whose node has not closed their layer to writes")]
     SnapshotNotClosed(String),
 }
 
 impl Tree {
-    /// The rules that the tree breaks; empty for a consistent tree.
+    /// Returns the rules that the tree breaks, none for a consistent tree.
     #[must_use]
     pub fn inconsistencies(&self) -> Vec<Inconsistency> {
         let mut found = Vec::new();
@@ -65,7 +66,7 @@
             }
         }
         for (name, snapshot) in &self.snapshots {
-            found.extend(self.check_granted(name, snapshot));
+            found.extend(self.check_snapshot_layers(name, snapshot));
         }
         found
     }
@@ -96,7 +97,7 @@
         }
     }
 
-    fn check_granted(&self, name: &str, snapshot: &Snapshot) -> Option<Inconsistency> {
+    fn check_snapshot_layers(&self, name: &str, snapshot: &Snapshot) -> Option<Inconsistency> {
         if !self
             .layers
             .get(&snapshot.layer)
@@ -104,7 +105,7 @@
         {
             return Some(Inconsistency::SnapshotNotFrozen(name.to_owned()));
         }
-        let closed = self.unclosed_nodes(snapshot.layer).is_empty();
-        (!closed).then(|| Inconsistency::SnapshotNotClosed(name.to_owned()))
+        let is_closed = self.unclosed_nodes(snapshot.layer).is_empty();
+        (!is_closed).then(|| Inconsistency::SnapshotNotClosed(name.to_owned()))
     }
 }
--- a/crates/cow/src/tree/error.rs
+++ b/crates/cow/src/tree/error.rs
@@ -1,16 +1,16 @@
-//! Why a change is rejected.
+//! The error of a change that is rejected.
 use super::model::{LayerId, Location};
 
-/// Why a change cannot be applied. Operators read these texts on the control socket.
+/// Why a change cannot be applied to the tree. Operators read these texts on the control socket.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
     /// No volume or clone has this name.
     #[error("`{0}`: no such volume or clone")]
     NoSuchBranch(String),
-    /// No snapshot has this name, or not of this branch.
+    /// No snapshot has this name, or the snapshot of this name is one of another branch.
     #[error("`{0}`: no such snapshot")]
     NoSuchSnapshot(String),
-    /// Another branch or snapshot has the name.
+    /// Another branch or snapshot has this name.
     #[error("`{0}`: the name is in use")]
     NameInUse(String),
     /// The name is empty, too long, or has a character that is not allowed.
@@ -22,13 +22,13 @@
     /// The state of the layer does not allow the change, for instance a new location in a frozen layer.
     #[error("layer {0}: takes no new places")]
     LayerNotAccepting(LayerId),
-    /// The extent has a location already, which another host was first to announce.
+    /// The extent already has this location, which another host was first to propose.
     #[error("the extent lies at node {}, place {}", .0.node, .0.slot)]
     AlreadyPlaced(Location),
-    /// The extent is past the end of the branch, or the slot was never allocated.
+    /// The extent is beyond the end of the branch, or the slot was never allocated.
     #[error("past the end")]
     OutOfRange,
-    /// The branch still has this snapshot.
+    /// The branch that is to be deleted still has this snapshot.
     #[error("`{0}`: still in use")]
     StillInUse(String),
     /// All layer ids have been assigned.
--- a/crates/cow/src/tree/index.rs
+++ b/crates/cow/src/tree/index.rs
@@ -1,14 +1,15 @@
-//! What follows from layers and names, maintained beside them so that no step has to visit a million locations.
+//! An index that is derived from layers, branches and snapshots. It is maintained with every change, so that no step
+//! has to visit a million locations.
 use super::model::{Branch, Layer, LayerId, Snapshot};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Counts and links by layer. Entries that are zero are removed, so that two indexes of one tree are equal.
+/// Counts and links by layer. Entries that are zero or empty are removed, so that all indexes of one tree are equal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Index {
-    /// How many branches and snapshots refer to each layer.
+    /// Number of branches and snapshots that refer to each layer.
     references: BTreeMap<LayerId, u32>,
     children: BTreeMap<LayerId, BTreeSet<LayerId>>,
-    /// How many locations of a layer each node holds.
+    /// Number of locations of each layer that each node holds.
     locations_by_node: BTreeMap<LayerId, BTreeMap<u32, u32>>,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Removes a layer. Its children, which are returned, become those of its parent.
+    /// Removes a layer. Its children become children of its parent, and are returned.
     pub(super) fn remove_layer(
         &mut self,
         layer: LayerId,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Nodes that hold locations of a layer.
+    /// Returns the nodes that hold locations of a layer.
     pub(super) fn nodes(&self, layer: LayerId) -> impl Iterator<Item = u32> + '_ {
         self.locations_by_node
             .get(&layer)
--- a/crates/cow/src/tree/mod.rs
+++ b/crates/cow/src/tree/mod.rs
@@ -1,17 +1,17 @@
 //! Layers, branches and snapshots.
 //!
-//! A *branch* is what clients write to: a volume or a clone. Its head *layer* takes new locations for extents; an
-//! extent that the head lacks is found in the nearest ancestor. A consistent cut freezes the head and puts a new
-//! layer under it. A layer is a logical unit of its own at every storage node (its id is the LUN), so that a node can
-//! close all of it to writes. Locations in it are numbered slots, and no slot is allocated twice, so that no late
-//! write of an abandoned copy can reach a location that is in use.
+//! A *branch* is a volume or a clone, to which clients write. Its head *layer* takes new locations for extents; an
+//! extent without a location in the head is found in the nearest ancestor that has one. A consistent cut freezes the
+//! head and creates a new head layer with the frozen one as its parent. A layer is a logical unit of its own at every
+//! storage node (its id is the LUN), so that a node can close all of it to writes. Locations in a layer are numbered
+//! slots. No slot is allocated twice, so that no late write of an abandoned copy can reach a location that is in use.
 //!
 //! - `model`: the stored data types.
 //! - `change`: the numbered changes and their effects.
-//! - `validate` and `apply`: whether a change fits a tree, and the tree after it.
+//! - `validate` and `apply`: whether a change fits a tree, and the tree after the change.
 //! - `reachability`: which locations are unreachable.
-//! - `index`: what follows from layers and names, maintained beside them.
-//! - `consistency`: checks of a whole tree, for stores that were just opened and for tests.
+//! - `index`: an index that is derived from layers, branches and snapshots.
+//! - `consistency`: checks of a full tree, for stores that were just opened and for tests.
 mod apply;
 mod change;
 mod consistency;
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "TreeData")]
 pub struct Tree {
-    /// Changes applied so far.
+    /// Version of the tree: the number of changes applied so far.
     pub version: u64,
     /// All layers, by id.
     pub layers: BTreeMap<LayerId, Layer>,
     /// Volumes and clones, by name.
     pub branches: BTreeMap<String, Branch>,
-    /// Snapshots, by `branch@name`.
+    /// Snapshots, by full name (`branch@name`).
     pub snapshots: BTreeMap<String, Snapshot>,
     #[serde(rename = "made")]
     layers_created: u32,
@@ -79,25 +79,25 @@
 }
 
 impl Tree {
-    /// Number of layers ever created. Their ids are never used again.
+    /// Returns the number of layers ever created. Their ids are never used again.
     #[must_use]
     pub fn layers_created(&self) -> u32 {
         self.layers_created
     }
 
-    /// Number of LUNs ever assigned to branches and snapshots. They are never used again.
+    /// Returns the number of LUNs ever assigned to branches and snapshots. The LUNs are never used again.
     #[must_use]
     pub fn luns_assigned(&self) -> u32 {
         self.luns_assigned
     }
 
-    /// The id that the next new layer will have.
+    /// Returns the id that the next new layer will have.
     #[must_use]
     pub fn next_layer_id(&self) -> LayerId {
         FIRST_LAYER_ID + self.layers_created
     }
 
-    /// The tree without its locations, which [`Tree::insert_locations`] adds again.
+    /// Returns the tree without its locations, which [`Tree::insert_locations`] adds again.
     pub(crate) fn without_locations(&self) -> Tree {
         let empty = |layer: &Layer| Layer {
             parent: layer.parent,
@@ -121,7 +121,7 @@
         data.into()
     }
 
-    /// Adds locations to a tree that was sent without them. False: there is no such layer.
+    /// Adds locations of a layer to a tree that was sent without them. Returns false if the tree has no such layer.
     #[must_use]
     pub(crate) fn insert_locations(
         &mut self,
@@ -142,29 +142,29 @@
         true
     }
 
-    /// A branch by name.
+    /// Returns the branch of this name.
     ///
     /// # Errors
     ///
-    /// [`ChangeError::NoSuchBranch`].
+    /// Returns [`ChangeError::NoSuchBranch`] if there is none.
     pub fn branch(&self, name: &str) -> Result<&Branch, ChangeError> {
         self.branches
             .get(name)
             .ok_or_else(|| ChangeError::NoSuchBranch(name.to_owned()))
     }
 
-    /// A snapshot by its full name, `branch@name`.
+    /// Returns the snapshot of this full name, `branch@name`.
     ///
     /// # Errors
     ///
-    /// [`ChangeError::NoSuchSnapshot`].
+    /// Returns [`ChangeError::NoSuchSnapshot`] if there is none.
     pub fn snapshot(&self, name: &str) -> Result<&Snapshot, ChangeError> {
         self.snapshots
             .get(name)
             .ok_or_else(|| ChangeError::NoSuchSnapshot(name.to_owned()))
     }
 
-    /// The head layer of a branch.
+    /// Returns the head layer of a branch.
     fn head(&self, branch: &str) -> Result<&Layer, ChangeError> {
         self.layer(self.branch(branch)?.head)
     }
@@ -173,14 +173,14 @@
         self.layers.get(&id).ok_or(ChangeError::NoSuchLayer(id))
     }
 
-    /// The layer through which a branch, or a snapshot (`branch@name`), is read.
+    /// Returns the layer through which a branch, or a snapshot (`branch@name`), is read, if there is one of this name.
     #[must_use]
     pub fn layer_read_by(&self, name: &str) -> Option<LayerId> {
         let head = self.branches.get(name).map(|branch| branch.head);
         head.or_else(|| self.snapshots.get(name).map(|snapshot| snapshot.layer))
     }
 
-    /// A layer and its ancestors, nearest first.
+    /// Returns a layer and its ancestors, nearest first.
     pub fn ancestors(&self, from: LayerId) -> impl Iterator<Item = (LayerId, &Layer)> {
         let mut next = Some(from);
         std::iter::from_fn(move || {
@@ -191,15 +191,16 @@
         })
     }
 
-    /// The location of an extent as read through a layer: the nearest one. None: the extent was never written.
+    /// Returns the layer and location at which an extent is read through a layer: those of the nearest layer that has
+    /// one. None: the extent was never written.
     #[must_use]
     pub fn locate(&self, from: LayerId, extent: u32) -> Option<(LayerId, Location)> {
         self.ancestors(from)
             .find_map(|(id, layer)| Some((id, *layer.locations.get(&extent)?)))
     }
 
-    /// The nodes that hold locations read through a layer and may still take writes to them, by the layer that they
-    /// have not closed.
+    /// Returns the nodes that may still take writes to locations read through a layer, by the layer that the nodes have
+    /// not closed.
     #[must_use]
     pub fn unclosed_nodes(&self, from: LayerId) -> BTreeMap<LayerId, BTreeSet<u32>> {
         let mut unclosed = BTreeMap::new();
@@ -212,7 +213,7 @@
         unclosed
     }
 
-    /// Nodes that hold locations of a layer and have not closed it.
+    /// Returns the nodes that hold locations of a layer and have not closed it.
     fn nodes_not_closed<'a>(
         &'a self,
         id: LayerId,
@@ -223,14 +224,14 @@
             .filter(|node| !layer.closed_nodes.contains(node))
     }
 
-    /// Every frozen layer with the nodes that still have to close it. Until they have, no extent can be copied from
-    /// there.
+    /// Returns each frozen layer with each node that still has to close it. Until then, no extent that this node holds
+    /// for the layer can be copied.
     pub fn pending_closes(&self) -> impl Iterator<Item = (LayerId, u32)> + '_ {
         let frozen = self.layers.iter().filter(|(_, layer)| layer.frozen);
         frozen.flat_map(|(id, layer)| self.nodes_not_closed(*id, layer).map(|node| (*id, node)))
     }
 
-    /// Extents below `extent_count` that are found at different locations through two layers.
+    /// Returns the extents below `extent_count` that are found at different locations through two layers.
     #[must_use]
     pub fn diff(&self, a: LayerId, b: LayerId, extent_count: u32) -> Vec<u32> {
         (0..extent_count)
--- a/crates/cow/src/tree/model.rs
+++ b/crates/cow/src/tree/model.rs
@@ -1,36 +1,36 @@
-//! The stored data types of the tree. They are kept in files and sent between releases as JSON: `serde(rename)` keeps
-//! the stored names, and the order of the fields is fixed as well.
+//! The stored data types of the tree. They are stored in files and sent between releases as JSON, so `serde(rename)`
+//! keeps the stored names, and the order of the fields is fixed as well.
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of a layer, which is also its LUN at the storage nodes.
+/// Id of a layer, which is also its LUN at the storage nodes.
 pub type LayerId = u32;
-/// An extent in a layer, by index.
+/// A layer, and the index of an extent in it.
 pub type LayerExtent = (LayerId, u32);
-/// Id of the first layer: smaller LUNs are left to statically placed volumes.
+/// Id of the first layer. Smaller LUNs are reserved for statically placed volumes.
 pub const FIRST_LAYER_ID: LayerId = 1024;
 /// Largest id of a layer: LUNs have 24 bits (SAM-5), and none is used twice.
 pub const LAST_LAYER_ID: LayerId = 0xff_ffff;
 
-/// Where an extent is stored.
+/// Location where an extent of a layer is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Location {
     /// Index of the storage node.
     pub node: u32,
-    /// Slot in the layer's logical unit there, in extents from its first block.
+    /// Slot in the layer's logical unit at that node, in extents from its first block.
     #[serde(rename = "number")]
     pub slot: u32,
 }
 
-/// The location of one extent of a layer. Sent as a JSON array of three.
+/// The location of one extent of a layer, sent as a JSON array of the three fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, Location, bool)", into = "(u32, Location, bool)")]
 pub struct ExtentLocation {
     /// Index of the extent.
     pub extent: u32,
-    /// Where it is stored.
+    /// Location where the extent is stored.
     pub location: Location,
-    /// Whether it may be written there: every host reads it there by now.
+    /// Whether the extent may be written at the location, because every host reads it there by now.
     pub writable: bool,
 }
 
@@ -50,20 +50,20 @@
     }
 }
 
-/// A set of extent locations over a parent layer.
+/// A layer of extent locations over a parent layer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Layer {
-    /// Where extents are found that have no location here.
+    /// Layer in which extents are found that have no location in this layer.
     pub parent: Option<LayerId>,
-    /// Takes no new locations any more.
+    /// Whether the layer takes no new locations any more.
     pub frozen: bool,
     /// Locations by extent.
     #[serde(rename = "places")]
     pub locations: BTreeMap<u32, Location>,
-    /// Extents whose location may be written: every host reads them there by now.
+    /// Extents whose location may be written, because every host reads them there by now.
     #[serde(rename = "opened")]
     pub writable: BTreeSet<u32>,
-    /// All slots below have been allocated.
+    /// Next slot to allocate: all smaller slots have been allocated.
     #[serde(rename = "next_number")]
     pub next_slot: u32,
     /// Nodes that have closed the layer to writes.
@@ -72,7 +72,7 @@
 }
 
 impl Layer {
-    /// Gives an extent a location. Returns the one that it had.
+    /// Gives an extent a location. Returns the location that it had before.
     pub(super) fn place(&mut self, extent: u32, location: Location) -> Option<Location> {
         self.locations.insert(extent, location)
     }
@@ -88,7 +88,7 @@
         self.locations.remove(&extent)
     }
 
-    /// The locations of the layer with whether they may be written, in order of extents.
+    /// Returns the locations of the layer, each with whether it may be written, in order of extents.
     pub(crate) fn extent_locations(&self) -> impl Iterator<Item = ExtentLocation> + '_ {
         self.locations
             .iter()
@@ -103,48 +103,48 @@
 /// A volume or a clone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Branch {
-    /// The layer that takes its writes.
+    /// Layer that takes the writes to the branch.
     pub head: LayerId,
-    /// LUN by which clients reach it, the same through all cuts.
+    /// LUN by which clients access the branch. It stays the same through all cuts.
     #[serde(rename = "unit")]
     pub lun: u32,
     /// Size in extents.
     #[serde(rename = "extents")]
     pub extent_count: u32,
-    /// The snapshot that a clone was created from, as `branch@name`.
+    /// Full name (`branch@name`) of the snapshot that a clone was created from. None: the branch is a volume.
     pub origin: Option<String>,
 }
 
-/// A frozen layer with a name.
+/// A snapshot: a frozen layer with a name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The branch that it shows.
+    /// Name of the branch that the snapshot shows.
     pub branch: String,
-    /// LUN by which clients read it.
+    /// LUN by which clients read the snapshot.
     #[serde(rename = "unit")]
     pub lun: u32,
-    /// The frozen layer through which it is read.
+    /// Frozen layer through which the snapshot is read.
     pub layer: LayerId,
     /// Size in extents.
     #[serde(rename = "extents")]
     pub extent_count: u32,
 }
 
-/// The stored part of a [`Tree`](super::Tree), without what follows from it.
+/// The stored part of a [`Tree`](super::Tree), without the index that is derived from it.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct TreeData {
-    /// Changes applied so far.
+    /// Version of the tree: the number of changes applied so far.
     pub version: u64,
     /// All layers, by id.
     pub layers: BTreeMap<LayerId, Layer>,
     /// Volumes and clones, by name.
     pub branches: BTreeMap<String, Branch>,
-    /// Snapshots, by `branch@name`.
+    /// Snapshots, by full name (`branch@name`).
     pub snapshots: BTreeMap<String, Snapshot>,
-    /// Layers created so far.
+    /// Number of layers created so far.
     #[serde(rename = "made")]
     pub layers_created: u32,
-    /// LUNs assigned so far to branches and snapshots.
+    /// Number of LUNs assigned so far to branches and snapshots.
     #[serde(rename = "units")]
     pub luns_assigned: u32,
 }
--- a/crates/cow/src/tree/reachability.rs
+++ b/crates/cow/src/tree/reachability.rs
@@ -1,26 +1,26 @@
-//! Which locations can be read through a branch or a snapshot, and which are unreachable.
+//! Determines which locations can be read through a branch or a snapshot, and which are unreachable.
 use super::{ChangeEffects, LayerExtent, LayerId, Tree};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Tree {
-    /// Whether a branch or a snapshot is read through a layer.
+    /// Returns whether a layer is the head of a branch or the layer of a snapshot.
     #[must_use]
     pub fn is_referenced(&self, layer: LayerId) -> bool {
         self.index.is_referenced(layer)
     }
 
-    /// Whether a layer holds no location and nothing refers to it: it may be removed.
+    /// Returns whether a layer may be removed: it has no locations, and no branch or snapshot refers to it.
     #[must_use]
     pub fn is_removable(&self, layer_id: LayerId) -> bool {
-        let empty = self
+        let is_empty = self
             .layers
             .get(&layer_id)
             .is_some_and(|layer| layer.locations.is_empty());
-        empty && !self.is_referenced(layer_id)
+        is_empty && !self.is_referenced(layer_id)
     }
 
-    /// Whether an extent has a location in a layer that no branch and no snapshot reads. `retained`: layers that may yet become
-    /// snapshots, which count as if they were.
+    /// Returns whether an extent has a location in a layer that no branch and no snapshot reads. `retained`: layers
+    /// that may yet become snapshots, and are treated as such.
     #[must_use]
     pub fn is_unreachable(
         &self,
@@ -52,8 +52,8 @@
             .is_some_and(|layer| layer.locations.contains_key(&extent))
     }
 
-    /// All extents with an unreachable location, by layer. A layer with an empty set has no locations and may be removed
-    /// itself.
+    /// Returns all extents with an unreachable location, by layer. A layer with an empty set has no locations and may
+    /// be removed itself.
     #[must_use]
     pub fn unreachable_extents(&self) -> BTreeMap<LayerId, BTreeSet<u32>> {
         let none_retained = BTreeSet::new();
@@ -74,7 +74,7 @@
         found
     }
 
-    /// Extents whose location a change has made unreachable.
+    /// Returns the extents whose location a change has made unreachable.
     #[must_use]
     pub fn newly_unreachable(&self, effects: &ChangeEffects) -> Vec<LayerExtent> {
         let none_retained = BTreeSet::new();
@@ -87,7 +87,7 @@
             found.push((hidden, extent));
         }
         if let Some(from) = effects.dereferenced {
-            // What is read through a referenced ancestor stays readable through it.
+            // Locations that are read through a referenced ancestor stay reachable through it.
             for (id, layer) in self
                 .ancestors(from)
                 .take_while(|(id, _)| !self.is_referenced(*id))
--- a/crates/cow/src/tree/validate.rs
+++ b/crates/cow/src/tree/validate.rs
@@ -1,8 +1,8 @@
-//! Whether a change can be applied to the present tree.
+//! Checks whether a change can be applied to a tree.
 use super::{Change, ChangeError, FIRST_LAYER_ID, LAST_LAYER_ID, LayerId, Location, Tree};
 use std::collections::BTreeSet;
 
-/// Longest name of a branch or a snapshot, in characters.
+/// Maximum length of the name of a branch or a snapshot, in characters.
 const MAX_NAME_LENGTH: usize = 64;
 
 fn check_name(name: &str) -> Result<(), ChangeError> {
@@ -14,11 +14,11 @@
 }
 
 impl Tree {
-    /// Whether a change can be applied now.
+    /// Checks whether a change can be applied to the tree.
     ///
     /// # Errors
     ///
-    /// Why it cannot.
+    /// Returns why the change cannot be applied.
     pub fn check(&self, change: &Change) -> Result<(), ChangeError> {
         match change {
             Change::BranchCreated { branch, .. } => self.check_new_branch(branch),
@@ -54,12 +54,12 @@
         }
     }
 
-    /// For a host that proposes a location for an extent it has copied: the location that another host was first to
-    /// propose. None: the change can be applied.
+    /// Returns the location that an extent already has, for a change by which a host proposes another one. None: the
+    /// change can be applied.
     ///
     /// # Errors
     ///
-    /// Any other reason why the change cannot be applied.
+    /// Returns any other reason why the change cannot be applied.
     pub fn conflicting_location(&self, change: &Change) -> Result<Option<Location>, ChangeError> {
         match self.check(change) {
             Ok(()) => Ok(None),
@@ -177,14 +177,14 @@
     fn check_reclaim(&self, layer_id: LayerId, extents: &[u32]) -> Result<(), ChangeError> {
         self.layer(layer_id)?;
         let none_retained = BTreeSet::new();
-        let allowed = if extents.is_empty() {
+        let is_allowed = if extents.is_empty() {
             self.is_removable(layer_id)
         } else {
             extents
                 .iter()
                 .all(|extent| self.is_unreachable(layer_id, *extent, &none_retained))
         };
-        if allowed {
+        if is_allowed {
             Ok(())
         } else {
             Err(ChangeError::LayerNotAccepting(layer_id))
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -1,8 +1,8 @@
-//! A host's replica of the tree, and where it sends a block I/O by that.
+//! A host's replica of the tree, by which the host decides where to send each block I/O.
 //!
 //! - `lease`: whether the host may act on its replica.
-//! - `lookup_cache`: what it has looked up so far.
-//! - `owned_slots`: the slots that it may use for new locations.
+//! - `lookup_cache`: cached lookups of extents.
+//! - `owned_slots`: the slots that the host may use for new locations.
 mod lease;
 mod lookup_cache;
 mod owned_slots;
@@ -16,32 +16,32 @@
 use lookup_cache::LookupCache;
 use owned_slots::OwnedSlots;
 
-/// An unanswered request is sent again after this many milliseconds: the catalog may have restarted.
+/// Time after which an unanswered request is sent again, in milliseconds: the catalog may have restarted.
 pub const RESEND_AFTER: Millis = 500;
 
-/// Where a block I/O goes.
+/// Result of looking up where a block I/O is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// To this location.
+    /// The block I/O goes to this location of the layer.
     Found(LayerId, Location),
-    /// A read of an extent that was never written: zeros.
+    /// The block I/O is a read of an extent that was never written, which reads as zeros.
     Zeros,
-    /// A write whose extent has no location in the head yet: it has to be copied there first.
+    /// The block I/O is a write to an extent without a location in the head: the extent has to be copied there first.
     CopyFirst {
-        /// The head.
+        /// Head layer into which the extent is copied.
         into: LayerId,
-        /// What is copied. None: the extent was never written.
+        /// Layer and location that are copied. None: the extent was never written.
         from: Option<(LayerId, Location)>,
     },
-    /// Not yet: the location may not be written yet, or the source of the copy may still change.
+    /// The write has to wait: its location may not be written yet, or the source of its copy may still change.
     Blocked,
-    /// The host has no lease, and so may not act on its replica.
+    /// The host has no lease, so it may not act on its replica.
     NoLease,
     /// No branch or snapshot has this name.
     UnknownName,
 }
 
-/// A full tree that is being received.
+/// A full tree that is being received from a catalog.
 struct IncomingTree {
     catalog_id: u64,
     tree: Tree,
@@ -51,7 +51,7 @@
 #[derive(Default)]
 pub struct TreeReplica {
     tree: Option<Tree>,
-    /// Id of the catalog that sent the tree. None: the replica contradicts what the catalog sends.
+    /// Id of the catalog that sent the tree. None: the replica contradicts the messages of the catalog.
     catalog_id: Option<u64>,
     incoming: Option<IncomingTree>,
     lease: Lease,
@@ -60,10 +60,10 @@
 }
 
 impl TreeReplica {
-    /// Milliseconds between two attempts to connect to the catalog.
+    /// Interval between two attempts to connect to the catalog, in milliseconds.
     pub const RECONNECT_INTERVAL: Millis = 200;
 
-    /// The version of the replica; the host sends it to the catalog when a connection opens.
+    /// Returns the catalog and version of the replica, which the host sends to the catalog when a connection opens.
     #[must_use]
     pub fn tree_version(&self) -> Option<TreeVersion> {
         let tree = self.tree.as_ref()?;
@@ -73,12 +73,13 @@
         })
     }
 
-    /// A full tree begins to arrive, without locations.
+    /// Begins to receive a full tree, which is still without locations.
     pub fn begin_full_tree(&mut self, catalog_id: u64, tree: Tree) {
         self.incoming = Some(IncomingTree { catalog_id, tree });
     }
 
-    /// Locations of the tree that is arriving. False: they do not belong to it.
+    /// Adds locations to the tree that is being received. Returns false if they do not belong to that tree, or none is
+    /// being received.
     #[must_use]
     pub fn add_locations(&mut self, layer: LayerId, locations: &[ExtentLocation]) -> bool {
         self.incoming
@@ -86,14 +87,15 @@
             .is_some_and(|incoming| incoming.tree.insert_locations(layer, locations))
     }
 
-    /// The tree that was arriving is complete and is used from now on. False: none was arriving.
+    /// Replaces the replica by the tree that was being received, which is complete. Returns false if none was being
+    /// received.
     #[must_use]
     pub fn finish_full_tree(&mut self) -> bool {
         let Some(IncomingTree { catalog_id, tree }) = self.incoming.take() else {
             return false;
         };
         if self.catalog_id != Some(catalog_id) {
-            // The slots were allocated by another catalog, and are invalid at this one.
+            // The slots were allocated by another catalog, and are not valid at this one.
             self.slots.clear();
         }
         self.catalog_id = Some(catalog_id);
@@ -101,21 +103,22 @@
         true
     }
 
-    /// The replica contradicts what the catalog sends: the full tree is needed, whatever its version.
+    /// Records that the replica contradicts the messages of the catalog. The full tree is needed, whatever its version.
     pub fn invalidate(&mut self) {
         self.catalog_id = None;
         self.incoming = None;
     }
 
-    /// Uses another tree from now on.
+    /// Replaces the replica by another tree.
     pub fn replace_tree(&mut self, tree: Tree) {
-        // Slots allocated before still belong to this host; those of frozen and removed layers are of no use.
+        // The host still owns the slots that were allocated to it; those of frozen and removed layers are of no use.
         self.slots.retain_open_layers(&tree);
         self.lookups.clear();
         self.tree = Some(tree);
     }
 
-    /// Applies one change. False: it does not follow what is known, so the full tree has to be requested.
+    /// Applies one change, or ignores it if the replica already includes it. Returns false if the change does not
+    /// follow the version of the replica or does not fit its tree, so that the full tree has to be requested.
     #[must_use]
     pub fn apply_change(&mut self, version: u64, change: &Change) -> bool {
         let Some(tree) = &mut self.tree else {
@@ -132,42 +135,42 @@
         true
     }
 
-    /// Version of the replica.
+    /// Returns the version of the replica, if there is one.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.tree.as_ref().map(|tree| tree.version)
     }
 
-    /// The replica.
+    /// Returns the tree of the replica, if there is one.
     #[must_use]
     pub fn tree(&self) -> Option<&Tree> {
         self.tree.as_ref()
     }
 
-    /// Whether a renewal of the lease is to be sent now; it then counts as sent.
+    /// Returns whether a renewal of the lease is to be sent now. If so, records it as sent.
     #[must_use]
     pub fn renewal_due(&mut self, now: Millis) -> bool {
         self.tree.is_some() && self.lease.renewal_due(now)
     }
 
-    /// A renewal that was sent at `sent_at` is granted for a duration from then on.
+    /// Records that the catalog has granted the renewal that was sent at `sent_at`, for a duration from then on.
     pub fn lease_granted(&mut self, sent_at: Millis, duration: Millis) {
         self.lease.granted(sent_at, duration);
     }
 
-    /// Whether the host may act on its replica.
+    /// Returns whether the host may act on its replica now.
     #[must_use]
     pub fn has_lease(&self, now: Millis) -> bool {
         self.tree.is_some() && self.lease.is_alive(now)
     }
 
-    /// The connection to the catalog was lost: the replica may be used until the lease expires.
+    /// Records that the connection to the catalog was lost. The host may act on its replica until the lease expires.
     pub fn connection_lost(&mut self) {
         self.lease.connection_lost();
         self.incoming = None;
     }
 
-    /// Where an extent of a branch, or of a snapshot (`branch@name`), is read or written.
+    /// Looks up where an extent of a branch, or of a snapshot (`branch@name`), is read or written.
     #[must_use]
     pub fn look_up(&mut self, name: &str, extent: u32, is_write: bool, now: Millis) -> Lookup {
         self.lookups.clear_if_full();
@@ -188,24 +191,24 @@
         }
     }
 
-    /// Whether more slots of a layer are to be requested.
+    /// Returns whether more slots of a layer are to be requested.
     #[must_use]
     pub fn needs_slots(&self, layer: LayerId) -> bool {
         self.slots.are_low(layer)
     }
 
-    /// The catalog has allocated slots of a layer to this host.
+    /// Adds slots of a layer that the catalog has allocated to this host.
     pub fn add_slots(&mut self, layer: LayerId, first: u32, count: u32) {
         self.slots.add(layer, first, count);
     }
 
-    /// A slot of a layer that no attempt has used yet.
+    /// Takes a slot of a layer that no attempt has used yet.
     pub fn take_slot(&mut self, layer: LayerId) -> Option<u32> {
         self.slots.take(layer)
     }
 }
 
-/// The head that a branch has until a change gives it another one or deletes the branch.
+/// Returns the current head of the branch to which a change gives another head, or which it deletes.
 fn replaced_head(tree: &Tree, change: &Change) -> Option<LayerId> {
     match change {
         Change::HeadFrozen { branch }
@@ -215,7 +218,7 @@
     }
 }
 
-/// Updates the cached lookups after a change, which has led to `tree`.
+/// Updates the cached lookups after a change. `tree` is the tree after the change.
 fn update_lookups(
     lookups: &mut LookupCache,
     tree: &Tree,
@@ -244,7 +247,8 @@
     }
 }
 
-/// The target of a write to an extent that was found in a layer, for a branch with this head.
+/// Returns where to send a write to an extent that was found at `location` in the layer `layer_id`, for a branch with
+/// the head `head`.
 fn write_target(
     tree: &Tree,
     head: LayerId,
@@ -256,14 +260,14 @@
         return Lookup::Blocked;
     };
     if layer_id == head {
-        // Until every host reads the extent here, a write would be missed by one that reads it elsewhere.
+        // Until every host reads the extent at this location, a host that reads it elsewhere would miss the write.
         return if layer.writable.contains(&extent) {
             Lookup::Found(layer_id, location)
         } else {
             Lookup::Blocked
         };
     }
-    // A copy taken before its node has closed the layer could miss a late write.
+    // A copy that is read before the source's node has closed the layer could miss a late write.
     if layer.closed_nodes.contains(&location.node) {
         Lookup::CopyFirst {
             into: head,
--- a/crates/cow/src/tree_replica/lookup_cache.rs
+++ b/crates/cow/src/tree_replica/lookup_cache.rs
@@ -1,36 +1,37 @@
-//! What a host has looked up so far, so that a read costs the same with a thousand snapshots as with none.
+//! A cache of lookups, so that a read costs the same with a thousand snapshots as with none.
 use crate::tree::{LayerId, Location, Tree};
 use std::collections::{BTreeMap, HashMap};
 
-/// Cached lookups over all heads and snapshots: some 100 MiB at most. Beyond that the cache is cleared.
+/// Maximum number of cached lookups over all heads and snapshots, which take some 100 MiB. A full cache is cleared.
 const MAX_CACHED_LOOKUPS: usize = 1 << 21;
 
-/// Where an extent was found: the layer, and its location there. None: it was never written.
+/// Layer and location at which an extent was found. None: the extent was never written.
 type Found = Option<(LayerId, Location)>;
 
-/// Extents that were looked up, by the layer through which they were read.
+/// Results of lookups, by the layer through which the extents were read.
 #[derive(Default)]
 pub(super) struct LookupCache {
     by_head: BTreeMap<LayerId, HashMap<u32, Found>>,
-    /// Lookups that were made since the cache was last cleared.
+    /// Number of lookups added since the cache was last cleared.
     count: usize,
 }
 
 impl LookupCache {
-    /// Forgets everything.
+    /// Removes all lookups.
     pub(super) fn clear(&mut self) {
         self.by_head.clear();
         self.count = 0;
     }
 
-    /// Forgets everything if there are too many entries to add one more.
+    /// Removes all lookups if the cache has no room for one more.
     pub(super) fn clear_if_full(&mut self) {
         if self.count >= MAX_CACHED_LOOKUPS {
             self.clear();
         }
     }
 
-    /// Where an extent is found through a head: as it was found before, or by the tree.
+    /// Returns where an extent is found through a head: the cached result, or else that of a lookup in the tree, which
+    /// is then cached.
     pub(super) fn locate(&mut self, tree: &Tree, head: LayerId, extent: u32) -> Found {
         let lookups = self.by_head.entry(head).or_default();
         *lookups.entry(extent).or_insert_with(|| {
@@ -39,19 +40,19 @@
         })
     }
 
-    /// A new head shows what the old one did.
+    /// Assigns the lookups of an old head to the new head, which shows the same data.
     pub(super) fn head_replaced(&mut self, old: LayerId, new: LayerId) {
         if let Some(lookups) = self.by_head.remove(&old) {
             self.by_head.insert(new, lookups);
         }
     }
 
-    /// Nothing is read through a head any more.
+    /// Removes the lookups of a head through which nothing is read any more.
     pub(super) fn head_abandoned(&mut self, head: LayerId) {
         self.by_head.remove(&head);
     }
 
-    /// An extent has a location in a head from now on.
+    /// Records that an extent has a location in a head from now on.
     pub(super) fn extent_placed(&mut self, head: LayerId, extent: u32, location: Location) {
         if let Some(lookups) = self.by_head.get_mut(&head) {
             lookups.insert(extent, Some((head, location)));
--- a/crates/cow/src/tree_replica/lookup_cache/tests.rs
+++ b/crates/cow/src/tree_replica/lookup_cache/tests.rs
@@ -1,33 +1,33 @@
-//! What is remembered of lookups, and what a change makes of it.
+//! Tests of the lookup cache: which lookups it returns after changes of heads, and when it is cleared.
 use super::*;
 use crate::tree::Change;
 
-/// A branch of four extents, none of them written; its head is layer 1024.
+/// Returns a tree with a branch of four extents, none of them written. The head of the branch is layer 1024.
 fn tree() -> Tree {
     let mut tree = Tree::default();
     let created = Change::BranchCreated {
         branch: "a".into(),
         extent_count: 4,
     };
-    tree.apply(&created).expect("fits");
+    tree.apply(&created).expect("change fits the tree");
     tree
 }
 
 const LOCATION: Location = Location { node: 1, slot: 3 };
 
 #[test]
-fn a_new_head_takes_over_the_lookups_of_the_old_one() {
+fn new_head_takes_over_the_lookups_of_the_old_head() {
     let mut cache = LookupCache::default();
     assert_eq!(cache.locate(&tree(), 1024, 2), None);
     cache.extent_placed(1024, 2, LOCATION);
     cache.head_replaced(1024, 1025);
-    // The tree knows of no such location: it comes from the cache.
+    // The tree has no such location, so it comes from the cache.
     assert_eq!(cache.locate(&tree(), 1025, 2), Some((1024, LOCATION)));
     assert_eq!(cache.locate(&tree(), 1024, 2), None);
 }
 
 #[test]
-fn nothing_is_remembered_of_an_abandoned_head() {
+fn lookups_of_an_abandoned_head_are_removed() {
     let mut cache = LookupCache::default();
     assert_eq!(cache.locate(&tree(), 1024, 2), None);
     cache.extent_placed(1024, 2, LOCATION);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_full_cache_is_cleared() {
+fn full_cache_is_cleared() {
     let mut cache = LookupCache::default();
     assert_eq!(cache.locate(&tree(), 1024, 2), None);
     cache.extent_placed(1024, 2, LOCATION);
