--- a/crates/cow/tests/copy_budget.rs
+++ b/crates/cow/tests/copy_budget.rs
@@ -1,15 +1,15 @@
-//! The budget of copies and of their retries.
+//! Tests of the copy budget: the limit of concurrent copies, and the retry budget with its probes.
 use mallowseam_cow::copy_budget::{CopyBudget, MAX_CONCURRENT_COPIES};
 
 #[test]
-fn concurrent_copies_are_bounded() {
+fn concurrent_copies_are_limited() {
     let mut budget = CopyBudget::default();
     assert!(budget.may_start(MAX_CONCURRENT_COPIES - 1, false, 0));
     assert!(!budget.may_start(MAX_CONCURRENT_COPIES, false, 0));
 }
 
 #[test]
-fn retries_are_bounded_by_the_budget_and_then_probe() {
+fn retries_are_limited_to_the_budget_and_then_to_probes() {
     let mut budget = CopyBudget::default();
     let started = (0..1_000)
         .filter(|now| budget.may_start(0, true, 1_000 + now))
@@ -18,12 +18,12 @@
     assert_eq!(budget.rejected_retries(), 1_000 - started as u64);
     assert!(
         budget.may_start(0, false, 2_000),
-        "a first attempt takes nothing from the budget"
+        "a first attempt needs no retry from the budget"
     );
 }
 
 #[test]
-fn successes_earn_retries_up_to_a_bound() {
+fn successes_add_retries_up_to_a_limit() {
     let mut budget = CopyBudget::default();
     // The budget is exhausted, and a probe was admitted at the same time.
     (0..=MAX_CONCURRENT_COPIES).for_each(|_| assert!(budget.may_start(0, true, 1_000)));
--- a/crates/cow/tests/host_leases.rs
+++ b/crates/cow/tests/host_leases.rs
@@ -1,4 +1,4 @@
-//! The catalog's view of host leases: when a version is effective.
+//! Tests of host leases as the catalog sees them: a version must not be effective while a host may act on an older one.
 use mallowseam_cow::leases::{HostLeases, LEASE_DURATION, LEASE_MARGIN};
 
 #[test]
@@ -41,6 +41,6 @@
 
 #[test]
 fn lease_margin_covers_clock_drift() {
-    // A host's clock that is slow by one in a hundred measures the duration longer than it is.
+    // A host whose clock is slow by one per cent acts for longer than the duration of its lease.
     const { assert!(LEASE_DURATION * 101 / 100 < LEASE_DURATION + LEASE_MARGIN) };
 }
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -1,9 +1,9 @@
-//! Everything that the copy-on-write logic decides in seeded runs of a catalog with its hosts, reduced to one hash a
-//! seed. The hashes were recorded before the code was restructured: a hash that differs means that a
-//! decision, a constant or the order of a result has changed.
+//! Guards against unintended changes of decisions. All decisions of the copy-on-write logic in seeded runs of a catalog
+//! with its hosts are reduced to one hash per seed, and compared with the hashes that an earlier version of the code
+//! gave. A hash that differs means that a decision, a constant, an error text or the order of results has changed.
 //!
-//! Trees and changes enter the hash as the JSON that is stored and sent; decisions by codes of this file, so that
-//! names in the code are free.
+//! Trees and changes enter the hash as the JSON that is stored and sent. Decisions enter it as codes of this file, so
+//! that names in the code can change.
 use mallowseam_cow::consistent_cut::{
     CUT_TIMEOUT, ConsistentCut, CutFailure, CutProgress, decide_completion,
 };
@@ -22,119 +22,123 @@
 const NODES: u64 = 3;
 const HOSTS: usize = 3;
 
-/// A digest of values of eight bytes, and of texts with their lengths.
-struct Record(Digest);
+/// A digest of decisions, as values of eight bytes and as texts with their lengths.
+struct DecisionDigest(Digest);
 
-impl Record {
-    fn number(&mut self, value: u64) {
+impl DecisionDigest {
+    fn add_number(&mut self, value: u64) {
         self.0.add(value);
     }
 
-    fn numbers(&mut self, values: impl IntoIterator<Item = u64>) {
+    fn add_numbers(&mut self, values: impl IntoIterator<Item = u64>) {
         let values: Vec<u64> = values.into_iter().collect();
-        self.number(values.len() as u64);
+        self.add_number(values.len() as u64);
         for value in values {
-            self.number(value);
+            self.add_number(value);
         }
     }
 
-    fn text(&mut self, text: &str) {
-        self.number(text.len() as u64);
+    fn add_text(&mut self, text: &str) {
+        self.add_number(text.len() as u64);
         self.0.add_bytes(text.as_bytes());
     }
 
-    fn location(&mut self, layer: LayerId, location: Location) {
-        self.numbers([layer.into(), location.node.into(), location.slot.into()]);
+    fn add_location(&mut self, layer: LayerId, location: Location) {
+        self.add_numbers([layer.into(), location.node.into(), location.slot.into()]);
     }
 
-    fn change_error(&mut self, error: &ChangeError) {
-        self.number(99);
-        self.text(&error.to_string());
+    fn add_change_error(&mut self, error: &ChangeError) {
+        self.add_number(99);
+        self.add_text(&error.to_string());
     }
 
-    fn lookup(&mut self, lookup: Lookup) {
+    fn add_lookup(&mut self, lookup: Lookup) {
         match lookup {
             Lookup::Found(layer, location) => {
-                self.number(1);
-                self.location(layer, location);
+                self.add_number(1);
+                self.add_location(layer, location);
             }
-            Lookup::Zeros => self.number(2),
+            Lookup::Zeros => self.add_number(2),
             Lookup::CopyFirst { into, from } => {
-                self.numbers([3, into.into()]);
+                self.add_numbers([3, into.into()]);
                 if let Some((layer, location)) = from {
-                    self.location(layer, location);
+                    self.add_location(layer, location);
                 }
             }
-            Lookup::Blocked => self.number(4),
-            Lookup::NoLease => self.number(5),
-            Lookup::UnknownName => self.number(6),
+            Lookup::Blocked => self.add_number(4),
+            Lookup::NoLease => self.add_number(5),
+            Lookup::UnknownName => self.add_number(6),
         }
     }
 
-    fn failure(&mut self, failed: &CutFailure) {
-        match failed {
+    fn add_cut_failure(&mut self, failure: &CutFailure) {
+        match failure {
             CutFailure::Rejected(error) => {
-                self.number(1);
-                self.text(&error.to_string());
+                self.add_number(1);
+                self.add_text(&error.to_string());
             }
             CutFailure::NodesNotClosed(nodes) => {
-                self.number(2);
-                self.numbers(nodes.iter().map(|n| u64::from(*n)));
+                self.add_number(2);
+                self.add_numbers(nodes.iter().map(|n| u64::from(*n)));
             }
             CutFailure::HostsNotQuiesced(hosts) => {
-                self.number(3);
+                self.add_number(3);
                 for host in hosts {
-                    self.text(host);
+                    self.add_text(host);
                 }
             }
         }
     }
 }
 
+/// A simulated host.
 struct Host {
     name: String,
     replica: TreeReplica,
     budget: CopyBudget,
     split_write: SplitWrite,
-    /// Changes that were sent and not received yet.
+    /// Changes that the catalog has sent and the host has not received yet.
     inbox: VecDeque<(u64, Change)>,
-    copying: Vec<ExtentCopy>,
+    copies: Vec<ExtentCopy>,
 }
 
-/// An extent that is being copied into a layer.
+/// A copy of an extent into a layer, in flight or failed.
 struct ExtentCopy {
     layer: LayerId,
     extent: u32,
     has_failed: bool,
 }
 
-struct Run {
+/// A simulated catalog with its hosts, driven by a seed.
+struct Simulation {
     rng: SeededRng,
-    record: Record,
+    digest: DecisionDigest,
     now: u64,
     tree: Tree,
     leases: HostLeases,
     reclaimer: Reclaimer,
     cuts: Vec<ConsistentCut>,
     hosts: Vec<Host>,
+    /// Version, layer and extent of locations that are not writable yet.
     awaiting_writable: Vec<(u64, LayerId, u32)>,
+    /// Releases in flight.
     in_flight: Vec<(LayerId, u32)>,
     names_created: u64,
 }
 
-impl Run {
-    fn new(seed: u64) -> Run {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let host = |n: usize| Host {
             name: format!("h{n}"),
             replica: TreeReplica::default(),
             budget: CopyBudget::default(),
             split_write: SplitWrite::default(),
             inbox: VecDeque::new(),
-            copying: Vec::new(),
+            copies: Vec::new(),
         };
-        let mut run = Run {
+        let mut simulation = Simulation {
             rng: SeededRng::new(seed),
-            record: Record(Digest::default()),
+            digest: DecisionDigest(Digest::default()),
             now: 10,
             tree: Tree::default(),
             leases: HostLeases::new(10, seed.is_multiple_of(2)),
@@ -145,29 +149,29 @@
             in_flight: Vec::new(),
             names_created: 0,
         };
-        run.apply(&Change::BranchCreated {
+        simulation.apply(&Change::BranchCreated {
             branch: "a".into(),
             extent_count: EXTENTS,
         });
-        (0..HOSTS).for_each(|h| run.connect(h));
-        run
+        (0..HOSTS).for_each(|host| simulation.connect(host));
+        simulation
     }
 
-    /// Applies a change if the tree allows it, and sends it to the hosts. Whether it was applied.
+    /// Applies a change if the tree allows it, and sends it to the hosts. Returns whether it was applied.
     fn apply(&mut self, change: &Change) -> bool {
-        self.record
-            .text(&serde_json::to_string(change).expect("plain data"));
+        self.digest
+            .add_text(&serde_json::to_string(change).expect("value is JSON"));
         let effects = match self.tree.apply(change) {
             Ok(effects) => effects,
             Err(error) => {
-                self.record.change_error(&error);
+                self.digest.add_change_error(&error);
                 return false;
             }
         };
-        let record = &mut self.record;
-        record.number(self.tree.version);
-        record.numbers(effects.layers.iter().map(|l| u64::from(*l)));
-        record.numbers(
+        let digest = &mut self.digest;
+        digest.add_number(self.tree.version);
+        digest.add_numbers(effects.layers.iter().map(|l| u64::from(*l)));
+        digest.add_numbers(
             effects
                 .locations
                 .iter()
@@ -177,15 +181,15 @@
             .branches
             .iter()
             .chain(&effects.snapshots)
-            .for_each(|n| record.text(n));
-        record.numbers(effects.dereferenced.map(u64::from));
-        record.numbers(
+            .for_each(|n| digest.add_text(n));
+        digest.add_numbers(effects.dereferenced.map(u64::from));
+        digest.add_numbers(
             effects
                 .placed
                 .into_iter()
                 .flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
         );
-        record.numbers(
+        digest.add_numbers(
             self.tree
                 .newly_unreachable(&effects)
                 .into_iter()
@@ -195,14 +199,14 @@
         let version = self.tree.version;
         self.hosts
             .iter_mut()
-            .for_each(|h| h.inbox.push_back((version, change.clone())));
+            .for_each(|host| host.inbox.push_back((version, change.clone())));
         true
     }
 
-    /// A host receives the full tree.
+    /// Sends the full tree to a host.
     fn connect(&mut self, host: usize) {
         let host = &mut self.hosts[host];
-        self.record.numbers(
+        self.digest.add_numbers(
             host.replica
                 .tree_version()
                 .into_iter()
@@ -219,95 +223,96 @@
                 }
                 _ => host.replica.finish_full_tree(),
             };
-            self.record.number(valid.into());
+            self.digest.add_number(valid.into());
         }
         host.inbox.clear();
     }
 
-    fn branch(&mut self) -> String {
+    fn random_branch(&mut self) -> String {
         let names: Vec<String> = self.tree.branches.keys().cloned().collect();
         self.rng.choose(&names).cloned().unwrap_or_default()
     }
 
-    fn snapshot(&mut self) -> Option<String> {
+    fn random_snapshot(&mut self) -> Option<String> {
         let names: Vec<String> = self.tree.snapshots.keys().cloned().collect();
         self.rng.choose(&names).cloned()
     }
 
-    fn layer(&mut self) -> LayerId {
+    fn random_layer(&mut self) -> LayerId {
         let layers: Vec<LayerId> = self.tree.layers.keys().copied().collect();
         self.rng.choose(&layers).copied().unwrap_or_default()
     }
 
-    fn name(&mut self) -> String {
+    fn new_name(&mut self) -> String {
         self.names_created += 1;
         format!("n{}", self.names_created)
     }
 
-    /// A block I/O: looked up, and copied first where that is needed.
+    /// Looks up where a block I/O goes, and starts a copy of its extent where one is needed.
     fn block_io(&mut self) {
         let name = match self.rng.below(8) {
-            0 => self.snapshot().unwrap_or_else(|| "nobody".into()),
-            _ => self.branch(),
+            0 => self.random_snapshot().unwrap_or_else(|| "nobody".into()),
+            _ => self.random_branch(),
         };
-        let (h, extent) = (
+        let (host_index, extent) = (
             self.rng.below(HOSTS as u64) as usize,
             self.rng.below(EXTENTS.into()) as u32,
         );
         let write = self.rng.below(3) > 0;
-        let host = &mut self.hosts[h];
+        let host = &mut self.hosts[host_index];
         let lookup = host.replica.look_up(&name, extent, write, self.now);
-        self.record.lookup(lookup);
-        self.record.number(host.replica.has_lease(self.now).into());
+        self.digest.add_lookup(lookup);
+        self.digest
+            .add_number(host.replica.has_lease(self.now).into());
         let Lookup::CopyFirst { into, .. } = lookup else {
             return;
         };
         let is_retry = host
-            .copying
+            .copies
             .iter()
             .any(|c| c.layer == into && c.extent == extent && c.has_failed);
-        let starts = host
-            .budget
-            .may_start(host.copying.len(), is_retry, self.now);
-        self.record
-            .numbers([starts.into(), host.budget.rejected_retries()]);
+        let starts = host.budget.may_start(host.copies.len(), is_retry, self.now);
+        self.digest
+            .add_numbers([starts.into(), host.budget.rejected_retries()]);
         if starts && !is_retry {
-            host.copying.push(ExtentCopy {
+            host.copies.push(ExtentCopy {
                 layer: into,
                 extent,
                 has_failed: false,
             });
         }
         if host.replica.needs_slots(into) {
-            self.record.number(8);
+            self.digest.add_number(8);
             let first = self.tree.layers.get(&into).map_or(0, |l| l.next_slot);
             if self.apply(&Change::SlotsAllocated {
                 layer: into,
                 first,
                 count: SLOT_BATCH,
             }) {
-                self.hosts[h].replica.add_slots(into, first, SLOT_BATCH);
+                self.hosts[host_index]
+                    .replica
+                    .add_slots(into, first, SLOT_BATCH);
             }
         }
     }
 
-    /// A copy succeeds, at a location of its own, or fails.
-    fn copy_finishes(&mut self) {
-        let h = self.rng.below(HOSTS as u64) as usize;
+    /// Lets a copy of a host succeed, at a location of its own, or fail.
+    fn finish_copy(&mut self) {
+        let host_index = self.rng.below(HOSTS as u64) as usize;
         let succeeds = self.rng.below(4) > 0;
-        let host = &mut self.hosts[h];
-        if host.copying.is_empty() {
+        let host = &mut self.hosts[host_index];
+        if host.copies.is_empty() {
             return;
         }
-        let index = self.rng.below(host.copying.len() as u64) as usize;
+        let index = self.rng.below(host.copies.len() as u64) as usize;
         if !succeeds {
-            host.copying[index].has_failed = true;
+            host.copies[index].has_failed = true;
             return;
         }
-        let ExtentCopy { layer, extent, .. } = host.copying.remove(index);
+        let ExtentCopy { layer, extent, .. } = host.copies.remove(index);
         host.budget.record_success();
         let slot = host.replica.take_slot(layer);
-        self.record.numbers(slot.map(u64::from));
+        self.digest.add_numbers(slot.map(u64::from));
         let Some(slot) = slot else { return };
         let location = Location {
             node: self.rng.below(NODES) as u32,
@@ -325,8 +330,8 @@
                         .push((self.tree.version, layer, extent));
                 }
             }
-            Ok(Some(first)) => self.record.location(layer, first),
-            Err(error) => self.record.change_error(&error),
+            Ok(Some(first)) => self.digest.add_location(layer, first),
+            Err(error) => self.digest.add_change_error(&error),
         }
     }
 
@@ -340,34 +345,34 @@
         }
     }
 
-    /// A host applies some of the changes that are on their way.
+    /// Lets a host apply some of the changes that it has not received yet.
     fn receive_changes(&mut self) {
-        let host = self.rng.below(HOSTS as u64) as usize;
+        let host_index = self.rng.below(HOSTS as u64) as usize;
         let count = self.rng.below(12);
         for _ in 0..count {
-            let h = &mut self.hosts[host];
-            let Some((version, change)) = h.inbox.pop_front() else {
+            let host = &mut self.hosts[host_index];
+            let Some((version, change)) = host.inbox.pop_front() else {
                 return;
             };
-            let follows = h.replica.apply_change(version, &change);
-            self.record.number(follows.into());
+            let follows = host.replica.apply_change(version, &change);
+            self.digest.add_number(follows.into());
             if !follows {
-                h.replica.invalidate();
-                return self.connect(host);
+                host.replica.invalidate();
+                return self.connect(host_index);
             }
             self.leases
-                .acknowledge(&h.name, h.replica.version().unwrap_or(0));
+                .acknowledge(&host.name, host.replica.version().unwrap_or(0));
         }
     }
 
     fn renew_leases(&mut self) {
         for host in &mut self.hosts {
             let due = host.replica.renewal_due(self.now);
-            self.record.number(due.into());
+            self.digest.add_number(due.into());
             if due && self.rng.below(8) > 0 {
                 let version = host.replica.version().unwrap_or(0);
                 let duration = self.leases.renew(&host.name, version, self.now);
-                self.record.number(duration);
+                self.digest.add_number(duration);
                 host.replica.lease_granted(self.now, duration);
             }
         }
@@ -375,8 +380,8 @@
 
     fn close_layers(&mut self) {
         let due: Vec<(LayerId, u32)> = self.tree.pending_closes().collect();
-        self.record
-            .numbers(due.iter().flat_map(|(l, n)| [u64::from(*l), u64::from(*n)]));
+        self.digest
+            .add_numbers(due.iter().flat_map(|(l, n)| [u64::from(*l), u64::from(*n)]));
         for (layer, node) in due {
             if self.rng.below(3) > 0 {
                 self.apply(&Change::LayerClosed { layer, node });
@@ -385,21 +390,21 @@
     }
 
     fn begin_cut(&mut self) {
-        let branch = self.branch();
+        let branch = self.random_branch();
         let name = if self.rng.below(12) == 0 {
             "twice".into()
         } else {
-            self.name()
+            self.new_name()
         };
         let hosts = self.leases.active_hosts(self.now);
         match ConsistentCut::begin(&self.tree, &branch, &name, hosts, self.now) {
             Ok((change, cut)) => {
-                self.record.number(cut.layer.into());
+                self.digest.add_number(cut.layer.into());
                 if self.apply(&change) {
                     self.cuts.push(cut);
                 }
             }
-            Err(failed) => self.record.failure(&failed),
+            Err(failure) => self.digest.add_cut_failure(&failure),
         }
     }
 
@@ -410,55 +415,58 @@
                     cut.host_quiesced(cut.layer, &format!("h{host}"));
                 }
             }
-            let holding = self.leases.active_hosts(self.now);
-            self.record
-                .number(cut.unquiesced_hosts(&holding).len() as u64);
+            let active_hosts = self.leases.active_hosts(self.now);
+            self.digest
+                .add_number(cut.unquiesced_hosts(&active_hosts).len() as u64);
             match cut.progress(&self.tree, self.now) {
                 CutProgress::Wait => {
-                    self.record.number(1);
+                    self.digest.add_number(1);
                     self.cuts.push(cut);
                 }
                 CutProgress::Restart => {
-                    self.record.number(2);
-                    if let Some(change) = cut.restart(&self.tree, holding) {
+                    self.digest.add_number(2);
+                    if let Some(change) = cut.restart(&self.tree, active_hosts) {
                         self.apply(&change);
                     }
                     self.cuts.push(cut);
                 }
                 CutProgress::Grant(change) => {
-                    self.record.number(3);
+                    self.digest.add_number(3);
                     self.apply(&change);
                 }
-                CutProgress::Fail(failed) => self.record.failure(&failed),
+                CutProgress::Fail(failure) => self.digest.add_cut_failure(&failure),
             }
         }
     }
 
-    /// A write of several parts takes a step.
+    /// Advances a split write of a host by one step.
     fn step_split_write(&mut self) {
-        let h = self.rng.below(HOSTS as u64) as usize;
-        let branch = self.branch();
-        let (head, other) = (self.tree.branches[&branch].head, self.layer());
+        let host_index = self.rng.below(HOSTS as u64) as usize;
+        let branch = self.random_branch();
+        let (head, other) = (self.tree.branches[&branch].head, self.random_layer());
         let now = self.now;
-        let host = &mut self.hosts[h];
+        let host = &mut self.hosts[host_index];
         match self.rng.below(4) {
             0 => host.split_write.part_completed(head),
             1 => host.split_write = SplitWrite::default(),
             _ => {
                 let in_flight_elsewhere = self.rng.below(5) == 0;
                 match host.split_write.admit(head, in_flight_elsewhere, now) {
-                    PartAdmission::Send => self.record.number(1),
-                    PartAdmission::Wait => self.record.number(2),
-                    PartAdmission::Reject => self.record.number(3),
+                    PartAdmission::Send => self.digest.add_number(1),
+                    PartAdmission::Wait => self.digest.add_number(2),
+                    PartAdmission::Reject => self.digest.add_number(3),
                     PartAdmission::RequestPermission(layer) => {
-                        self.record.numbers([4, layer.into()]);
-                        let found = decide_completion(&self.tree, layer);
-                        let granted = found.as_ref().is_some_and(|found| found.is_granted);
-                        let frozen_layers =
-                            found.map(|found| found.frozen_layers).unwrap_or_default();
-                        self.record.number(granted.into());
-                        self.record
-                            .numbers(frozen_layers.iter().map(|l| u64::from(*l)));
+                        self.digest.add_numbers([4, layer.into()]);
+                        let decision = decide_completion(&self.tree, layer);
+                        let granted = decision
+                            .as_ref()
+                            .is_some_and(|decision| decision.is_granted);
+                        let frozen_layers = decision
+                            .map(|decision| decision.frozen_layers)
+                            .unwrap_or_default();
+                        self.digest.add_number(granted.into());
+                        self.digest
+                            .add_numbers(frozen_layers.iter().map(|l| u64::from(*l)));
                         if granted {
                             self.cuts
                                 .iter_mut()
@@ -466,14 +474,20 @@
                                 .for_each(ConsistentCut::mark_stale);
                         }
                         if self.rng.below(3) > 0 {
-                            self.hosts[h].split_write.permission_decided(layer, granted);
+                            self.hosts[host_index]
+                                .split_write
+                                .permission_decided(layer, granted);
                         }
                     }
                 }
             }
         }
-        self.record
-            .number(self.hosts[h].split_write.started_in_or_before(other).into());
+        self.digest.add_number(
+            self.hosts[host_index]
+                .split_write
+                .started_in_or_before(other)
+                .into(),
+        );
     }
 
     fn reclaim(&mut self) {
@@ -482,14 +496,15 @@
         let batch =
             self.reclaimer
                 .next_batch(&self.tree, &retained, &self.leases, max_in_flight, self.now);
-        self.record.numbers(
+        self.digest.add_numbers(
             batch
                 .iter()
                 .flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]),
         );
         self.in_flight.extend(batch);
         let removable = self.reclaimer.removable_layers(&self.tree, &retained);
-        self.record.numbers(removable.iter().map(|l| u64::from(*l)));
+        self.digest
+            .add_numbers(removable.iter().map(|l| u64::from(*l)));
         for layer in removable {
             self.apply(&Change::ExtentsReclaimed {
                 layer,
@@ -512,11 +527,16 @@
                 }
             }
         }
-        self.record.number(self.reclaimer.pending_count() as u64);
+        self.digest
+            .add_number(self.reclaimer.pending_count() as u64);
     }
 
     fn change_names(&mut self) {
-        let (branch, snapshot, name) = (self.branch(), self.snapshot(), self.name());
+        let (branch, snapshot, name) = (
+            self.random_branch(),
+            self.random_snapshot(),
+            self.new_name(),
+        );
         let change = match (self.rng.below(10), snapshot) {
             (0, _) if self.tree.branches.len() < 5 => Change::BranchCreated {
                 branch: name,
@@ -542,14 +562,17 @@
         self.apply(&change);
     }
 
-    /// A change that need not fit the tree.
+    /// Checks a random change, which need not fit the tree.
     fn check_arbitrary_change(&mut self) {
-        let (layer, extent) = (self.layer(), self.rng.below(u64::from(EXTENTS) + 4) as u32);
+        let (layer, extent) = (
+            self.random_layer(),
+            self.rng.below(u64::from(EXTENTS) + 4) as u32,
+        );
         let location = Location {
             node: self.rng.below(NODES) as u32,
             slot: self.rng.below(300) as u32,
         };
-        let (branch, name) = (self.branch(), "x".to_owned());
+        let (branch, name) = (self.random_branch(), "x".to_owned());
         let change = match self.rng.below(7) {
             0 => Change::ExtentPlaced {
                 layer,
@@ -581,43 +604,43 @@
             },
         };
         match self.tree.check(&change) {
-            Ok(()) => self.record.number(1),
-            Err(error) => self.record.change_error(&error),
+            Ok(()) => self.digest.add_number(1),
+            Err(error) => self.digest.add_change_error(&error),
         }
     }
 
     fn query(&mut self) {
-        let (a, b) = (self.layer(), self.layer());
-        let record = &mut self.record;
-        record.numbers(self.tree.diff(a, b, EXTENTS).into_iter().map(u64::from));
+        let (a, b) = (self.random_layer(), self.random_layer());
+        let digest = &mut self.digest;
+        digest.add_numbers(self.tree.diff(a, b, EXTENTS).into_iter().map(u64::from));
         for (layer, nodes) in self.tree.unclosed_nodes(a) {
-            record.number(layer.into());
-            record.numbers(nodes.into_iter().map(u64::from));
+            digest.add_number(layer.into());
+            digest.add_numbers(nodes.into_iter().map(u64::from));
         }
         for (layer, extents) in self.tree.unreachable_extents() {
-            record.number(layer.into());
-            record.numbers(extents.into_iter().map(u64::from));
+            digest.add_number(layer.into());
+            digest.add_numbers(extents.into_iter().map(u64::from));
         }
-        record.numbers([
+        digest.add_numbers([
             self.tree.next_layer_id().into(),
             self.tree.layers_created().into(),
             self.tree.luns_assigned().into(),
         ]);
-        record.numbers([
+        digest.add_numbers([
             self.tree.is_referenced(a).into(),
             self.tree.is_removable(b).into(),
         ]);
-        record.numbers(self.tree.ancestors(b).map(|(id, _)| u64::from(id)));
+        digest.add_numbers(self.tree.ancestors(b).map(|(id, _)| u64::from(id)));
         for (host, until) in self.leases.blocking_hosts(self.tree.version, self.now) {
-            record.text(host);
-            record.number(until);
+            digest.add_text(host);
+            digest.add_number(until);
         }
-        record.number(self.leases.all_hosts_known(self.now).into());
-        let name = self.branch();
-        self.record
-            .numbers(self.tree.layer_read_by(&name).map(u64::from));
-        self.record
-            .text(&serde_json::to_string(&self.tree).expect("plain data"));
+        digest.add_number(self.leases.all_hosts_known(self.now).into());
+        let name = self.random_branch();
+        self.digest
+            .add_numbers(self.tree.layer_read_by(&name).map(u64::from));
+        self.digest
+            .add_text(&serde_json::to_string(&self.tree).expect("value is JSON"));
         assert_eq!(self.tree.inconsistencies(), Vec::new());
     }
 
@@ -629,7 +652,7 @@
         };
         match self.rng.below(100) {
             0..40 => self.block_io(),
-            40..60 => self.copy_finishes(),
+            40..60 => self.finish_copy(),
             60..70 => self.receive_changes(),
             70..75 => self.renew_leases(),
             75..78 => self.close_layers(),
@@ -660,14 +683,14 @@
     }
 }
 
-fn hash(seed: u64) -> u64 {
-    let mut run = Run::new(seed);
-    (0..STEPS).for_each(|_| run.step());
-    run.query();
-    run.record.0.value()
+fn decision_hash(seed: u64) -> u64 {
+    let mut simulation = Simulation::new(seed);
+    (0..STEPS).for_each(|_| simulation.step());
+    simulation.query();
+    simulation.digest.0.value()
 }
 
-const RECORDED: [u64; 20] = [
+const RECORDED_HASHES: [u64; 20] = [
     0xdfaa_1aef_ac6a_7ea9,
     0x08c7_c3e5_08eb_f10c,
     0x03af_7def_ef00_cb6f,
@@ -691,15 +714,20 @@
 ];
 
 #[test]
-fn decisions_of_twenty_seeded_runs_match() {
-    let found: Vec<u64> = (1..=RECORDED.len() as u64).map(hash).collect();
+fn decisions_of_twenty_seeded_runs_match_the_recorded_hashes() {
+    let found: Vec<u64> = (1..=RECORDED_HASHES.len() as u64)
+        .map(decision_hash)
+        .collect();
     let found: Vec<String> = found.iter().map(|h| format!("{h:#018x}")).collect();
-    let recorded: Vec<String> = RECORDED.iter().map(|h| format!("{h:#018x}")).collect();
+    let recorded: Vec<String> = RECORDED_HASHES
+        .iter()
+        .map(|h| format!("{h:#018x}"))
+        .collect();
     assert_eq!(found, recorded);
 }
 
 #[test]
-fn constants_match() {
+fn constants_are_unchanged() {
     assert_eq!(
         (LEASE_DURATION, LEASE_MARGIN, CUT_TIMEOUT),
         (3_000, 50, 5_000)
@@ -732,44 +760,45 @@
 
 /// More slots are requested once fewer than 16 are left.
 #[test]
-fn slots_low_watermark_matches() {
-    let mut cache = TreeReplica::default();
-    cache.add_slots(1_024, 0, 16);
-    assert!(!cache.needs_slots(1_024));
-    assert_eq!(cache.take_slot(1_024), Some(0));
-    assert!(cache.needs_slots(1_024) && cache.needs_slots(1_025));
+fn more_slots_are_needed_below_sixteen() {
+    let mut replica = TreeReplica::default();
+    replica.add_slots(1_024, 0, 16);
+    assert!(!replica.needs_slots(1_024));
+    assert_eq!(replica.take_slot(1_024), Some(0));
+    assert!(replica.needs_slots(1_024) && replica.needs_slots(1_025));
 }
 
-/// Eight retries are admitted at once, then one every 250 ms, and one for every ten (and a rounding error) successes.
+/// Eight retries are admitted at once, then one every 250 ms, and one for every ten successes. Because of a rounding
+/// error the first one takes eleven successes.
 #[test]
-fn retry_budget_matches() {
-    let mut copies = CopyBudget::default();
-    let begun: Vec<u64> = (1..=1_000)
-        .filter(|now| copies.may_start(0, true, *now))
+fn retry_budget_admits_eight_then_one_per_interval_or_ten_successes() {
+    let mut budget = CopyBudget::default();
+    let admitted_at: Vec<u64> = (1..=1_000)
+        .filter(|now| budget.may_start(0, true, *now))
         .collect();
-    assert_eq!(begun, [1, 2, 3, 4, 5, 6, 7, 8, 250, 500, 750, 1_000]);
-    (0..10).for_each(|_| copies.record_success());
+    assert_eq!(admitted_at, [1, 2, 3, 4, 5, 6, 7, 8, 250, 500, 750, 1_000]);
+    (0..10).for_each(|_| budget.record_success());
     assert!(
-        !copies.may_start(0, true, 1_000),
-        "ten times 0.1 is just below 1"
+        !budget.may_start(0, true, 1_000),
+        "the sum of ten times 0.1 is just below 1"
     );
-    copies.record_success();
-    assert!(copies.may_start(0, true, 1_000));
-    assert!(!copies.may_start(0, true, 1_000));
-    assert_eq!(copies.rejected_retries(), 990);
+    budget.record_success();
+    assert!(budget.may_start(0, true, 1_000));
+    assert!(!budget.may_start(0, true, 1_000));
+    assert_eq!(budget.rejected_retries(), 990);
 }
 
-/// One call looks at 256 locations and releases 64; those that a pending cut retains go to the back of the queue.
+/// One call examines 256 locations and releases 64. Locations that a pending cut retains go to the back of the queue.
 #[test]
-fn reclaim_batch_size_matches() {
-    let (mut tree, mut free, leases) = (
+fn reclaimer_examines_256_locations_and_releases_64_per_call() {
+    let (mut tree, mut reclaimer, leases) = (
         Tree::default(),
         Reclaimer::default(),
         HostLeases::new(0, true),
     );
     let mut apply = |tree: &mut Tree, change: Change| {
-        let effects = tree.apply(&change).expect("fits");
-        free.record_change(tree, &effects);
+        let effects = tree.apply(&change).expect("change fits the tree");
+        reclaimer.record_change(tree, &effects);
     };
     apply(
         &mut tree,
@@ -801,7 +830,10 @@
         );
     }
     apply(&mut tree, Change::BranchDeleted { branch: "a".into() });
-    assert_eq!(free.next_batch(&tree, &[1_024].into(), &leases, 0, 10), []);
+    assert_eq!(
+        reclaimer.next_batch(&tree, &[1_024].into(), &leases, 0, 10),
+        []
+    );
     let extents = |batch: Vec<(LayerId, u32)>| {
         batch
             .into_iter()
@@ -809,17 +841,17 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
+        extents(reclaimer.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         (256..320).collect::<Vec<_>>()
     );
     assert_eq!(
-        extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
+        extents(reclaimer.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         Vec::<u32>::new()
     );
-    (256..266).for_each(|extent| free.release_completed((1_024, extent)));
+    (256..266).for_each(|extent| reclaimer.release_completed((1_024, extent)));
     assert_eq!(
-        extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
+        extents(reclaimer.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         (320..330).collect::<Vec<_>>()
     );
-    assert_eq!(free.pending_count(), 590);
+    assert_eq!(reclaimer.pending_count(), 590);
 }
--- a/crates/cow/tests/pinned_messages.rs
+++ b/crates/cow/tests/pinned_messages.rs
@@ -1,14 +1,18 @@
-//! The JSON bytes of every message between hosts and catalog, and of the tree as it is stored. Hosts and
-//! catalogs of different releases talk to each other and read each other's files, so these texts must not change.
+//! Pins the JSON bytes of every message between hosts and the catalog, and of the stored tree. Hosts and catalogs of
+//! different releases exchange these messages and read each other's files, so the bytes must not change.
 use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion, full_tree_messages};
 use mallowseam_cow::tree::{Branch, Change, ExtentLocation, Layer, Location, Snapshot, Tree};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-fn pinned<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(value: &T, text: &str) {
-    assert_eq!(serde_json::to_string(value).expect("plain data"), text);
+/// Checks that a value is written as a JSON text, and that the text reads back as the value.
+fn check_json<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
+    value: &T,
+    text: &str,
+) {
+    assert_eq!(serde_json::to_string(value).expect("value is JSON"), text);
     assert_eq!(
-        serde_json::from_str::<T>(text).expect("the pinned text"),
+        serde_json::from_str::<T>(text).expect("the text is such a value"),
         *value
     );
 }
@@ -18,7 +22,7 @@
 const LOCATION: Location = Location { node: 2, slot: 11 };
 
 #[test]
-fn messages_to_the_catalog() {
+fn messages_to_the_catalog_keep_their_bytes() {
     let hello = |replica_version| ToCatalog::Hello {
         host: "h1".into(),
         replica_version,
@@ -27,41 +31,41 @@
         catalog_id: 7,
         version: 9,
     };
-    pinned(
+    check_json(
         &hello(Some(replica_version)),
         r#"{"hello":{"host":"h1","have":[7,9]}}"#,
     );
-    pinned(&hello(None), r#"{"hello":{"host":"h1","have":null}}"#);
-    let without: ToCatalog =
-        serde_json::from_str(r#"{"hello":{"host":"h1"}}"#).expect("`have` may lack");
-    assert_eq!(without, hello(None));
-    pinned(
+    check_json(&hello(None), r#"{"hello":{"host":"h1","have":null}}"#);
+    let without_version: ToCatalog =
+        serde_json::from_str(r#"{"hello":{"host":"h1"}}"#).expect("`have` is optional");
+    assert_eq!(without_version, hello(None));
+    check_json(
         &ToCatalog::RenewLease {
             sent_at: 12,
             seen_version: 34,
         },
         r#"{"renew":{"sent":12,"seen":34}}"#,
     );
-    pinned(
+    check_json(
         &ToCatalog::Acknowledge { version: 5 },
         r#"{"seen":{"version":5}}"#,
     );
-    pinned(
+    check_json(
         &ToCatalog::AllocateSlots {
             layer: LAYER,
             count: 64,
         },
         r#"{"numbers":{"layer":1024,"count":64}}"#,
     );
-    pinned(
+    check_json(
         &ToCatalog::Quiesced { layer: LAYER },
         r#"{"clear":{"layer":1024}}"#,
     );
-    pinned(
+    check_json(
         &ToCatalog::RequestCompletion { layer: LAYER },
         r#"{"leave":{"layer":1024}}"#,
     );
-    pinned(
+    check_json(
         &ToCatalog::ProposeLocation {
             layer: LAYER,
             extent: EXTENT,
@@ -72,15 +76,15 @@
 }
 
 #[test]
-fn messages_to_a_host() {
-    pinned(
+fn messages_to_a_host_keep_their_bytes() {
+    check_json(
         &ToHost::FullTree {
             catalog_id: 7,
             tree: Box::default(),
         },
         r#"{"whole":{"catalog":7,"tree":{"version":0,"layers":{},"branches":{},"snapshots":{},"made":0,"units":0}}}"#,
     );
-    pinned(
+    check_json(
         &ToHost::Locations {
             layer: LAYER,
             locations: vec![
@@ -98,23 +102,23 @@
         },
         r#"{"part":{"layer":1024,"lies":[[3,{"node":2,"number":11},true],[4,{"node":2,"number":11},false]]}}"#,
     );
-    pinned(&ToHost::FullTreeEnd, r#""filled""#);
-    pinned(&ToHost::CaughtUp, r#""going""#);
-    pinned(
+    check_json(&ToHost::FullTreeEnd, r#""filled""#);
+    check_json(&ToHost::CaughtUp, r#""going""#);
+    check_json(
         &ToHost::TreeChanged {
             version: 9,
             change: Change::HeadFrozen { branch: "a".into() },
         },
         r#"{"changed":{"version":9,"change":{"Cut":{"branch":"a"}}}}"#,
     );
-    pinned(
+    check_json(
         &ToHost::LeaseGranted {
             sent_at: 12,
             duration: 3_000,
         },
         r#"{"lease":{"sent":12,"span":3000}}"#,
     );
-    pinned(
+    check_json(
         &ToHost::SlotsAllocated {
             layer: LAYER,
             first: 64,
@@ -122,25 +126,25 @@
         },
         r#"{"numbers":{"layer":1024,"first":64,"count":64}}"#,
     );
-    pinned(
+    check_json(
         &ToHost::Quiesce {
             layer: LAYER,
             branch: "a".into(),
         },
         r#"{"ask-clear":{"layer":1024,"branch":"a"}}"#,
     );
-    pinned(
+    check_json(
         &ToHost::CutFinished { branch: "a".into() },
         r#"{"over":{"branch":"a"}}"#,
     );
-    pinned(
+    check_json(
         &ToHost::CompletionDecision {
             layer: LAYER,
             granted: true,
         },
         r#"{"leave":{"layer":1024,"given":true}}"#,
     );
-    pinned(
+    check_json(
         &ToHost::LocationRejected {
             layer: LAYER,
             extent: EXTENT,
@@ -150,16 +154,16 @@
 }
 
 #[test]
-fn changes() {
+fn changes_keep_their_bytes() {
     let (a, s) = (|| "a".to_owned(), || "a@s".to_owned());
-    pinned(
+    check_json(
         &Change::BranchCreated {
             branch: a(),
             extent_count: 8,
         },
         r#"{"Made":{"branch":"a","extents":8}}"#,
     );
-    pinned(
+    check_json(
         &Change::SlotsAllocated {
             layer: LAYER,
             first: 0,
@@ -167,7 +171,7 @@
         },
         r#"{"Numbers":{"layer":1024,"first":0,"count":8}}"#,
     );
-    pinned(
+    check_json(
         &Change::ExtentPlaced {
             layer: LAYER,
             extent: EXTENT,
@@ -175,25 +179,25 @@
         },
         r#"{"Placed":{"layer":1024,"extent":3,"place":{"node":2,"number":11}}}"#,
     );
-    pinned(
+    check_json(
         &Change::ExtentWritable {
             layer: LAYER,
             extent: EXTENT,
         },
         r#"{"Opened":{"layer":1024,"extent":3}}"#,
     );
-    pinned(
+    check_json(
         &Change::HeadFrozen { branch: a() },
         r#"{"Cut":{"branch":"a"}}"#,
     );
-    pinned(
+    check_json(
         &Change::LayerClosed {
             layer: LAYER,
             node: 2,
         },
         r#"{"Closed":{"layer":1024,"node":2}}"#,
     );
-    pinned(
+    check_json(
         &Change::SnapshotCreated {
             branch: a(),
             name: "s".into(),
@@ -201,29 +205,29 @@
         },
         r#"{"Named":{"branch":"a","name":"s","layer":1024}}"#,
     );
-    pinned(
+    check_json(
         &Change::CloneCreated {
             snapshot: s(),
             branch: "c".into(),
         },
         r#"{"Cloned":{"snapshot":"a@s","branch":"c"}}"#,
     );
-    pinned(
+    check_json(
         &Change::BranchRolledBack {
             branch: a(),
             snapshot: s(),
         },
         r#"{"RolledBack":{"branch":"a","snapshot":"a@s"}}"#,
     );
-    pinned(
+    check_json(
         &Change::SnapshotDeleted { snapshot: s() },
         r#"{"SnapshotDeleted":{"snapshot":"a@s"}}"#,
     );
-    pinned(
+    check_json(
         &Change::BranchDeleted { branch: a() },
         r#"{"BranchDeleted":{"branch":"a"}}"#,
     );
-    pinned(
+    check_json(
         &Change::ExtentsReclaimed {
             layer: LAYER,
             extents: vec![3, 4],
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn parts_of_a_tree() {
+fn records_of_a_tree_keep_their_bytes() {
     let layer = Layer {
         parent: Some(1024),
         frozen: true,
@@ -242,11 +246,11 @@
         next_slot: 64,
         closed_nodes: [1, 2].into(),
     };
-    pinned(
+    check_json(
         &layer,
         r#"{"parent":1024,"frozen":true,"places":{"3":{"node":2,"number":11}},"opened":[3],"next_number":64,"closed":[1,2]}"#,
     );
-    pinned(
+    check_json(
         &Branch {
             head: 1026,
             lun: 1025,
@@ -255,7 +259,7 @@
         },
         r#"{"head":1026,"unit":1025,"extents":8,"origin":"a@s"}"#,
     );
-    pinned(
+    check_json(
         &Snapshot {
             branch: "a".into(),
             lun: 1025,
@@ -266,10 +270,10 @@
     );
 }
 
-/// A tree with a snapshot, a clone and a first write after the cut.
+/// Returns a tree with a snapshot, a clone and a first write after the cut.
 fn tree() -> Tree {
     let mut tree = Tree::default();
-    let place = |node, slot| Location { node, slot };
+    let location = |node, slot| Location { node, slot };
     for change in [
         Change::BranchCreated {
             branch: "a".into(),
@@ -283,7 +287,7 @@
         Change::ExtentPlaced {
             layer: 1024,
             extent: 3,
-            location: place(2, 11),
+            location: location(2, 11),
         },
         Change::ExtentWritable {
             layer: 1024,
@@ -311,23 +315,23 @@
         Change::ExtentPlaced {
             layer: 1025,
             extent: 3,
-            location: place(0, 1),
+            location: location(0, 1),
         },
     ] {
-        tree.apply(&change).expect("fits");
+        tree.apply(&change).expect("change fits the tree");
     }
     tree
 }
 
 #[test]
-fn a_tree_and_the_messages_that_send_it() {
-    pinned(
+fn tree_and_the_messages_that_send_it_keep_their_bytes() {
+    check_json(
         &tree(),
         r#"{"version":10,"layers":{"1024":{"parent":null,"frozen":true,"places":{"3":{"node":2,"number":11}},"opened":[3],"next_number":64,"closed":[2]},"1025":{"parent":1024,"frozen":false,"places":{"3":{"node":0,"number":1}},"opened":[],"next_number":64,"closed":[]},"1026":{"parent":1024,"frozen":false,"places":{},"opened":[],"next_number":0,"closed":[]}},"branches":{"a":{"head":1025,"unit":1024,"extents":8,"origin":null},"c":{"head":1026,"unit":1026,"extents":8,"origin":"a@s"}},"snapshots":{"a@s":{"branch":"a","unit":1025,"layer":1024,"extents":8}},"made":3,"units":3}"#,
     );
     let tree = tree();
     let sent: Vec<String> = full_tree_messages(7, &tree)
-        .map(|m| serde_json::to_string(&m).expect("plain data"))
+        .map(|message| serde_json::to_string(&message).expect("message is JSON"))
         .collect();
     assert_eq!(
         sent,
@@ -341,19 +345,19 @@
 }
 
 #[test]
-fn a_large_layer_is_sent_in_messages_of_a_thousand_locations() {
+fn large_layer_is_sent_in_messages_of_a_thousand_locations() {
     let mut tree = Tree::default();
     tree.apply(&Change::BranchCreated {
         branch: "a".into(),
         extent_count: 4_096,
     })
-    .expect("fits");
+    .expect("change fits the tree");
     tree.apply(&Change::SlotsAllocated {
         layer: 1024,
         first: 0,
         count: 4_096,
     })
-    .expect("fits");
+    .expect("change fits the tree");
     for extent in 0..2_001 {
         let location = Location {
             node: 0,
@@ -364,10 +368,10 @@
             extent,
             location,
         })
-        .expect("fits");
+        .expect("change fits the tree");
     }
     let sizes: Vec<usize> = full_tree_messages(7, &tree)
-        .filter_map(|m| match m {
+        .filter_map(|message| match message {
             ToHost::Locations { locations, .. } => Some(locations.len()),
             _ => None,
         })
@@ -375,12 +379,15 @@
     assert_eq!(sizes, [1_000, 1_000, 1]);
 }
 
-/// The texts that operators read on the control socket when a request is rejected.
+/// Operators read these texts on the control socket when a request is rejected.
 #[test]
-fn rejections() {
+fn rejected_changes_keep_their_error_texts() {
     let mut tree = tree();
-    let rejection =
-        |tree: &Tree, change: Change| tree.check(&change).expect_err("a rejection").to_string();
+    let rejection = |tree: &Tree, change: Change| {
+        tree.check(&change)
+            .expect_err("change is rejected")
+            .to_string()
+    };
     let created = |branch: &str| Change::BranchCreated {
         branch: branch.into(),
         extent_count: 8,
@@ -433,11 +440,11 @@
         "`a@s`: still in use"
     );
     let text = serde_json::to_string(&tree)
-        .expect("plain data")
+        .expect("tree is JSON")
         .replace(r#""made":3"#, r#""made":16776192"#);
-    tree = serde_json::from_str(&text).expect("a tree");
+    tree = serde_json::from_str(&text).expect("the JSON is a tree");
     assert_eq!(rejection(&tree, created("d")), "no layer numbers are left");
     let text = text.replace(r#""made":16776192"#, r#""made":16776191"#);
-    tree = serde_json::from_str(&text).expect("a tree");
+    tree = serde_json::from_str(&text).expect("the JSON is a tree");
     assert_eq!(tree.check(&created("d")), Ok(()));
 }
--- a/crates/cow/tests/reclaim.rs
+++ b/crates/cow/tests/reclaim.rs
@@ -1,4 +1,5 @@
-//! When locations are released.
+//! Tests of the reclaimer: a location must not be released while a host may still read it, while a read of it may be in
+//! flight, or while a pending cut needs it, and must be released afterwards.
 use mallowseam_cow::Millis;
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::reclaim::Reclaimer;
@@ -13,7 +14,7 @@
 
 impl Catalog {
     fn apply(&mut self, change: &Change) {
-        let effects = self.tree.apply(change).expect("fits");
+        let effects = self.tree.apply(change).expect("change fits the tree");
         self.reclaimer.record_change(&self.tree, &effects);
     }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// A branch with two written extents.
+/// Returns a catalog with a branch of which two extents are written.
 fn catalog() -> Catalog {
     let leases = HostLeases::new(0, true);
     let mut catalog = Catalog {
@@ -64,7 +65,7 @@
     catalog
 }
 
-/// The same after a cut, with one extent written again.
+/// Returns a catalog with a branch after a cut: two extents were written before the cut, and one again after it.
 fn catalog_after_cut() -> Catalog {
     let mut catalog = catalog();
     for change in [
@@ -125,7 +126,11 @@
     assert_eq!(catalog.next_batch(&[], 100, 20), []);
     assert_eq!(catalog.next_batch(&[], 100, 119), []);
     assert_eq!(catalog.next_batch(&[], 100, 120), [(1024, 4), (1024, 5)]);
-    assert_eq!(catalog.next_batch(&[], 100, 500), [], "both are in flight");
+    assert_eq!(
+        catalog.next_batch(&[], 100, 500),
+        [],
+        "both releases are in flight"
+    );
     catalog.reclaimer.release_failed((1024, 5), 500);
     assert_eq!(catalog.next_batch(&[], 100, 600), [(1024, 5)]);
 }
@@ -138,7 +143,7 @@
 }
 
 #[test]
-fn empty_layer_is_removed() {
+fn empty_layer_without_references_is_removable() {
     let mut catalog = catalog();
     catalog.apply(&Change::HeadFrozen { branch: "a".into() });
     catalog.apply(&Change::HeadFrozen { branch: "a".into() });
@@ -148,7 +153,7 @@
     assert_eq!(
         reclaimer.removable_layers(tree, &[1025].into()),
         [],
-        "a pending cut"
+        "a pending cut retains the layer"
     );
     assert_eq!(reclaimer.removable_layers(tree, &BTreeSet::new()), [1025]);
     catalog.apply(&Change::ExtentsReclaimed {
--- a/crates/cow/tests/split_write.rs
+++ b/crates/cow/tests/split_write.rs
@@ -1,4 +1,5 @@
-//! Writes of several parts across cuts.
+//! Tests of split writes, which are sent in several parts: a cut between the parts must not leave a snapshot with some
+//! of them.
 use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
 use mallowseam_cow::tree_replica::RESEND_AFTER;
 
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn write_with_a_part_in_a_snapshot_is_rejected_for_good() {
+fn write_with_a_part_in_a_snapshot_is_rejected_permanently() {
     let mut write = SplitWrite::default();
     write.part_completed(5);
     assert_eq!(
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn permission_expires_with_the_next_cut_and_names_the_oldest_layer() {
+fn permission_ends_at_the_next_cut_and_is_requested_for_the_oldest_layer() {
     let mut write = SplitWrite::default();
     write.part_completed(5);
     assert_eq!(
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn part_waits_for_one_in_flight_to_another_layer() {
+fn part_waits_for_a_part_in_flight_to_another_layer() {
     let mut write = SplitWrite::default();
     assert_eq!(write.admit(6, true, 0), PartAdmission::Wait);
     assert!(!write.started_in_or_before(6));
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -1,4 +1,5 @@
-//! Trees of snapshots and clones against a model: every branch and snapshot as a full copy of its data.
+//! Compares trees of snapshots and clones with a model that holds a full copy of the data of every branch and snapshot.
+//! A wrong lookup, copy or reclaim shows as data that differs from the copy.
 use mallowseam_cow::consistent_cut::{CUT_TIMEOUT, ConsistentCut, CutFailure, CutProgress};
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
 use mallowseam_cow::tree_replica::{Lookup, TreeReplica};
@@ -7,19 +8,23 @@
 
 const EXTENTS: u32 = 4;
 
-/// A tree, the data at each location, and what each name should show.
+/// A tree, the data at each location, and the expected data of each name.
 #[derive(Default)]
 struct TreeModel {
     tree: Tree,
+    /// Data of each location: the number of the last write to it.
     stored: BTreeMap<(LayerId, Location), u64>,
+    /// Expected data of each branch, by extent.
     branches: BTreeMap<String, Vec<u64>>,
+    /// Expected data of each snapshot, by extent.
     snapshots: BTreeMap<String, Vec<u64>>,
-    writes: u64,
+    /// Number of writes so far.
+    write_count: u64,
     /// The replica of a host that receives every change.
     host: TreeReplica,
 }
 
-/// One step of a run: its kind, and which name and extent it is about.
+/// One step of a run: its kind, and the indices from which a name and an extent are chosen.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     kind: u8,
@@ -35,7 +40,7 @@
     (0u8..11, 0usize..8, 0usize..8).prop_map(|(kind, name, extent)| step(kind, name, extent))
 }
 
-/// Allocates slots of a layer.
+/// Returns a change that allocates slots of a layer.
 fn allocated(layer: LayerId, first: u32, count: u32) -> Change {
     Change::SlotsAllocated {
         layer,
@@ -44,7 +49,7 @@
     }
 }
 
-/// Gives an extent its location in a layer.
+/// Returns a change that gives an extent a location in a layer.
 fn placed(layer: LayerId, extent: u32, location: Location) -> Change {
     Change::ExtentPlaced {
         layer,
@@ -59,25 +64,27 @@
         let effects = self
             .tree
             .apply(change)
-            .unwrap_or_else(|r| panic!("{change:?}: {r}"));
-        // What a change has made unreachable is found without visiting the whole tree.
-        let fresh = |(layer, extent): &(LayerId, u32)| {
-            !before.get(layer).is_some_and(|b| b.contains(extent))
+            .unwrap_or_else(|error| panic!("{change:?}: {error}"));
+        // `newly_unreachable` does not visit the full tree, and must find the same locations as a search that does.
+        let is_new = |(layer, extent): &(LayerId, u32)| {
+            !before
+                .get(layer)
+                .is_some_and(|extents| extents.contains(extent))
         };
         let all = self
             .tree
             .unreachable_extents()
             .into_iter()
-            .flat_map(|(l, es)| es.into_iter().map(move |e| (l, e)));
+            .flat_map(|(layer, extents)| extents.into_iter().map(move |extent| (layer, extent)));
         let found: BTreeSet<_> = self
             .tree
             .newly_unreachable(&effects)
             .into_iter()
-            .filter(fresh)
+            .filter(is_new)
             .collect();
         assert_eq!(
             found,
-            all.filter(fresh).collect::<BTreeSet<_>>(),
+            all.filter(is_new).collect::<BTreeSet<_>>(),
             "{change:?}"
         );
         if self.host.version().is_none() {
@@ -93,9 +100,9 @@
         }
     }
 
-    /// A write as a host makes it: to its location, or after a copy to a new one.
+    /// Writes an extent as a host does: at its location in the head, or after a copy to a new location there.
     fn write(&mut self, branch: &str, extent: u32) {
-        self.writes += 1;
+        self.write_count += 1;
         let head = self.tree.branches[branch].head;
         let found = self.tree.locate(head, extent);
         let location = match found {
@@ -104,10 +111,10 @@
                 let slot = self.tree.layers[&head].next_slot;
                 self.apply(&allocated(head, slot, 1));
                 let location = Location {
-                    node: self.writes as u32 % 3,
+                    node: self.write_count as u32 % 3,
                     slot,
                 };
-                let copied = from.map_or(0, |f| self.stored[&f]);
+                let copied = from.map_or(0, |source| self.stored[&source]);
                 self.stored.insert((head, location), copied);
                 self.apply(&placed(head, extent, location));
                 self.apply(&Change::ExtentWritable {
@@ -117,56 +124,72 @@
                 location
             }
         };
-        self.stored.insert((head, location), self.writes);
-        self.branches.get_mut(branch).expect("known")[extent as usize] = self.writes;
+        self.stored.insert((head, location), self.write_count);
+        self.branches
+            .get_mut(branch)
+            .expect("branch is in the model")[extent as usize] = self.write_count;
     }
 
-    fn shows(&self, layer: LayerId) -> Vec<u64> {
+    /// Returns the data of all extents as read through a layer.
+    fn data_read_through(&self, layer: LayerId) -> Vec<u64> {
         (0..EXTENTS)
-            .map(|e| self.tree.locate(layer, e).map_or(0, |f| self.stored[&f]))
+            .map(|extent| {
+                self.tree
+                    .locate(layer, extent)
+                    .map_or(0, |found| self.stored[&found])
+            })
             .collect()
     }
 
+    /// Checks the replica's lookups, the consistency of the tree, and the data of each name.
     fn check(&mut self) {
         for (name, branch) in &self.tree.branches {
             for extent in 0..EXTENTS {
-                let wanted = match self.tree.locate(branch.head, extent) {
+                let expected = match self.tree.locate(branch.head, extent) {
                     Some((layer, location)) => Lookup::Found(layer, location),
                     None => Lookup::Zeros,
                 };
                 assert_eq!(
                     self.host.look_up(name, extent, false, 0),
-                    wanted,
+                    expected,
                     "{name} extent {extent}"
                 );
             }
         }
         assert_eq!(self.tree.inconsistencies(), Vec::new());
         for (name, data) in &self.branches {
-            assert_eq!(self.shows(self.tree.branches[name].head), *data, "{name}");
+            assert_eq!(
+                self.data_read_through(self.tree.branches[name].head),
+                *data,
+                "{name}"
+            );
         }
         for (name, data) in &self.snapshots {
-            assert_eq!(self.shows(self.tree.snapshots[name].layer), *data, "{name}");
+            assert_eq!(
+                self.data_read_through(self.tree.snapshots[name].layer),
+                *data,
+                "{name}"
+            );
         }
     }
 
     fn step(&mut self, Step { kind, name, extent }: Step) {
-        let pick = |map: &BTreeMap<String, Vec<u64>>, n: usize| {
-            map.keys().nth(n % map.len().max(1)).cloned()
+        let choose = |map: &BTreeMap<String, Vec<u64>>, index: usize| {
+            map.keys().nth(index % map.len().max(1)).cloned()
         };
-        let branch = pick(&self.branches, name).unwrap_or_default();
-        let snapshot = pick(&self.snapshots, name);
+        let branch = choose(&self.branches, name).unwrap_or_default();
+        let snapshot = choose(&self.snapshots, name);
         match (kind, snapshot) {
             (0..5, _) => self.write(&branch, extent as u32 % EXTENTS),
             (5 | 6, _) => {
                 let name = format!("s{}", self.tree.version);
                 let (change, cut) =
                     ConsistentCut::begin(&self.tree, &branch, &name, BTreeSet::default(), 0)
-                        .expect("a cut");
+                        .expect("the cut can begin");
                 self.apply(&change);
                 self.close_all();
                 let CutProgress::Grant(change) = cut.progress(&self.tree, 0) else {
-                    panic!("closed everywhere")
+                    panic!("cut is not granted, though every node has closed its layers")
                 };
                 self.apply(&change);
                 self.snapshots
@@ -213,6 +236,7 @@
     }
 }
 
+/// Returns a model with one branch, `a`, of which nothing is written.
 fn model() -> TreeModel {
     let mut model = TreeModel::default();
     model.apply(&Change::BranchCreated {
@@ -223,7 +247,7 @@
     model
 }
 
-/// A model with this many slots for its branch, and the head of that.
+/// Returns a model with `count` slots allocated for the head of its branch, and that head.
 fn model_with_slots(count: u32) -> (TreeModel, LayerId) {
     let mut model = model();
     let layer = model.tree.branches["a"].head;
@@ -234,7 +258,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is written, frozen, cloned, rolled back, deleted and reclaimed, each name shows exactly its own data.
+    /// After any writes, cuts, clones, rollbacks, deletions and reclaims, each name shows exactly its own data.
     #[test]
     fn every_name_shows_its_own_data(steps in prop::collection::vec(any_step(), 1..60)) {
         let mut model = model();
@@ -242,32 +266,32 @@
             model.step(step);
             model.check();
         }
-        // No unreachable location is retained.
+        // Reclaiming releases every unreachable location.
         while !model.tree.unreachable_extents().is_empty() {
             model.step(step(10, 0, 0));
         }
         model.check();
-        let location_count: usize = model.tree.layers.values().map(|l| l.locations.len()).sum();
+        let location_count: usize = model.tree.layers.values().map(|layer| layer.locations.len()).sum();
         prop_assert_eq!(location_count, model.stored.len());
-        let mut read = std::collections::BTreeSet::new();
-        let roots = model.tree.branches.values().map(|b| b.head);
-        for root in roots.chain(model.tree.snapshots.values().map(|s| s.layer)) {
-            read.extend((0..EXTENTS).filter_map(|e| model.tree.locate(root, e)));
+        let mut reachable = std::collections::BTreeSet::new();
+        let heads = model.tree.branches.values().map(|branch| branch.head);
+        for layer in heads.chain(model.tree.snapshots.values().map(|snapshot| snapshot.layer)) {
+            reachable.extend((0..EXTENTS).filter_map(|extent| model.tree.locate(layer, extent)));
         }
-        prop_assert_eq!(location_count, read.len());
-        let names = model.tree.branches.len() + model.tree.snapshots.len();
-        prop_assert!(model.tree.layers.len() <= names + location_count, "empty layers pile up");
+        prop_assert_eq!(location_count, reachable.len());
+        let name_count = model.tree.branches.len() + model.tree.snapshots.len();
+        prop_assert!(model.tree.layers.len() <= name_count + location_count, "empty layers are not removed");
     }
 
-    /// The same changes give the same tree, also when it is written down and read back in between.
+    /// The same steps give the same tree in two runs.
     #[test]
-    fn replayed_changes_give_the_same_tree(steps in prop::collection::vec(any_step(), 1..30)) {
-        let (mut one, mut two) = (model(), model());
+    fn same_steps_give_the_same_tree(steps in prop::collection::vec(any_step(), 1..30)) {
+        let (mut first, mut second) = (model(), model());
         for step in steps {
-            one.step(step);
-            two.step(step);
+            first.step(step);
+            second.step(step);
         }
-        prop_assert_eq!(one.tree, two.tree);
+        prop_assert_eq!(first.tree, second.tree);
     }
 }
 
@@ -277,8 +301,8 @@
     for extent in 0..3 {
         model.write("a", extent);
     }
-    let (change, cut) =
-        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
+    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100)
+        .expect("the cut can begin");
     model.apply(&change);
     assert_eq!(
         model.tree.pending_closes().collect::<Vec<_>>(),
@@ -298,8 +322,8 @@
 fn cut_fails_with_the_nodes_that_did_not_close() {
     let mut model = model();
     model.write("a", 0);
-    let (change, cut) =
-        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
+    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100)
+        .expect("the cut can begin");
     model.apply(&change);
     assert_eq!(
         cut.progress(&model.tree, 100 + CUT_TIMEOUT - 1),
@@ -308,7 +332,7 @@
     let failed = CutProgress::Fail(CutFailure::NodesNotClosed([1].into()));
     assert_eq!(cut.progress(&model.tree, 100 + CUT_TIMEOUT), failed);
     assert!(model.tree.snapshots.is_empty());
-    // Clients continue in the new head, but copy nothing from layers that may still receive late writes.
+    // Clients continue in the new head, but copy no extent from a layer that may still receive late writes.
     let head = model.tree.branches["a"].head;
     model.apply(&allocated(head, 0, 1));
     let placed = placed(head, 0, Location { node: 2, slot: 0 });
@@ -324,14 +348,14 @@
 }
 
 #[test]
-fn concurrent_cuts_wait_for_the_same_nodes() {
+fn concurrent_cuts_are_granted_once_the_same_nodes_have_closed() {
     let mut model = model();
     model.write("a", 0);
-    let (change, first) =
-        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
+    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0)
+        .expect("the cut can begin");
     model.apply(&change);
-    let (change, second) =
-        ConsistentCut::begin(&model.tree, "a", "t", BTreeSet::default(), 0).expect("a cut");
+    let (change, second) = ConsistentCut::begin(&model.tree, "a", "t", BTreeSet::default(), 0)
+        .expect("the cut can begin");
     model.apply(&change);
     assert_eq!(
         (
@@ -343,7 +367,7 @@
     model.close_all();
     for cut in [first, second] {
         let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else {
-            panic!("closed")
+            panic!("cut is not granted, though every node has closed its layers")
         };
         model.apply(&change);
     }
@@ -351,16 +375,16 @@
 }
 
 #[test]
-fn second_snapshot_of_a_name_is_rejected() {
+fn second_snapshot_with_the_same_name_is_rejected() {
     let mut model = model();
-    let (change, first) =
-        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
+    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0)
+        .expect("the cut can begin");
     model.apply(&change);
     let (change, second) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0)
-        .expect("not granted yet");
+        .expect("the first snapshot is not granted yet");
     model.apply(&change);
     let CutProgress::Grant(change) = first.progress(&model.tree, 0) else {
-        panic!("nothing to close")
+        panic!("cut is not granted, though there is no layer to close")
     };
     model.apply(&change);
     assert!(matches!(
@@ -371,7 +395,7 @@
 }
 
 #[test]
-fn first_location_of_an_extent_wins() {
+fn second_location_of_an_extent_is_rejected_with_the_first() {
     let (mut model, layer) = model_with_slots(9);
     let first = Location { node: 1, slot: 2 };
     model.apply(&placed(layer, 0, first));
@@ -383,7 +407,7 @@
 }
 
 #[test]
-fn slots_are_allocated_once_and_required() {
+fn slots_are_allocated_only_once_and_locations_need_allocated_slots() {
     let (model, layer) = model_with_slots(9);
     assert!(model.tree.check(&allocated(layer, 8, 1)).is_err());
     let location = Location { node: 0, slot: 9 };
@@ -394,11 +418,16 @@
 }
 
 #[test]
-fn branch_with_snapshots_is_kept_and_clone_outlives_its_snapshot() {
+fn branch_with_snapshots_cannot_be_deleted_and_a_clone_outlives_its_snapshot() {
     let mut model = model();
     model.write("a", 1);
     model.step(step(5, 0, 0));
-    let snapshot = model.snapshots.keys().next().expect("one").clone();
+    let snapshot = model
+        .snapshots
+        .keys()
+        .next()
+        .expect("a snapshot was created")
+        .clone();
     assert!(matches!(
         model
             .tree
@@ -419,10 +448,11 @@
 }
 
 #[test]
-fn grant_waits_for_hosts_to_quiesce_or_lose_their_lease() {
+fn grant_waits_until_each_host_has_quiesced_or_its_lease_has_expired() {
     let mut model = model();
     let hosts = || ["g".to_owned(), "h".to_owned()].into();
-    let (change, mut cut) = ConsistentCut::begin(&model.tree, "a", "s", hosts(), 0).expect("a cut");
+    let (change, mut cut) =
+        ConsistentCut::begin(&model.tree, "a", "s", hosts(), 0).expect("the cut can begin");
     model.apply(&change);
     assert_eq!(cut.progress(&model.tree, 0), CutProgress::Wait);
     cut.host_quiesced(1024, "g");
@@ -434,7 +464,7 @@
     );
     assert!(
         cut.unquiesced_hosts(&["g".to_owned()].into()).is_empty(),
-        "h may not act any more"
+        "host h may not act any more"
     );
     assert!(matches!(
         cut.progress(&model.tree, 0),
@@ -443,7 +473,7 @@
 }
 
 #[test]
-fn split_write_is_completed_after_a_pending_cut_only() {
+fn split_write_may_be_completed_after_a_pending_cut_but_not_after_a_granted_one() {
     use mallowseam_cow::consistent_cut::{CompletionDecision, decide_completion};
     let decision = |is_granted, frozen_layers: &[LayerId]| {
         let frozen_layers = frozen_layers.iter().copied().collect();
@@ -453,8 +483,8 @@
         })
     };
     let mut model = model();
-    let (change, mut cut) =
-        ConsistentCut::begin(&model.tree, "a", "s", ["g".to_owned()].into(), 0).expect("a cut");
+    let (change, mut cut) = ConsistentCut::begin(&model.tree, "a", "s", ["g".to_owned()].into(), 0)
+        .expect("the cut can begin");
     model.apply(&change);
     assert_eq!(
         decide_completion(&model.tree, 1024),
@@ -464,7 +494,7 @@
     assert_eq!(
         cut.progress(&model.tree, 0),
         CutProgress::Wait,
-        "the write is not through"
+        "the write is not complete"
     );
     assert!(matches!(
         cut.progress(&model.tree, CUT_TIMEOUT),
@@ -474,7 +504,7 @@
     assert_eq!(cut.progress(&model.tree, 0), CutProgress::Restart);
     let freeze = cut
         .restart(&model.tree, ["g".to_owned()].into())
-        .expect("a branch");
+        .expect("the branch exists");
     model.apply(&freeze);
     assert_eq!(cut.layer, 1025);
     assert_eq!(
@@ -483,7 +513,9 @@
     );
     cut.host_quiesced(1025, "g");
     let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else {
-        panic!("clear and closed")
+        panic!(
+            "cut is not granted, though the host is quiesced and every node has closed its layers"
+        )
     };
     model.apply(&change);
     assert_eq!(
@@ -494,8 +526,8 @@
     assert_eq!(decide_completion(&model.tree, 9_999), None);
 }
 
-/// What a lookup costs behind so many snapshots of a volume of 1 TiB in extents of 1 MiB, a thousand of them
-/// written; a measurement: `cargo test --release -p mallowseam-cow -- --ignored --nocapture`.
+/// Measures the cost of a lookup behind 1, 10 and 1,000 snapshots of a volume of 1 TiB with extents of 1 MiB, of which
+/// a thousand are written. To run: `cargo test --release -p mallowseam-cow -- --ignored --nocapture`.
 #[test]
 #[ignore = "a benchmark"]
 fn benchmark_lookups_behind_many_snapshots() {
@@ -524,18 +556,24 @@
         let head = tree.branches["a"].head;
         replica.replace_tree(tree.clone());
         replica.lease_granted(0, 1);
-        let time = |look: &mut dyn FnMut(u32)| {
-            let began = std::time::Instant::now();
-            (0..1_000_000u32).for_each(|i| look(i % 1_000 * 1_000));
-            began.elapsed().as_nanos() / 1_000_000
+        let mean_nanos = |look_up: &mut dyn FnMut(u32)| {
+            let started = std::time::Instant::now();
+            (0..1_000_000u32).for_each(|i| look_up(i % 1_000 * 1_000));
+            started.elapsed().as_nanos() / 1_000_000
         };
-        let host = time(&mut |e| {
-            std::hint::black_box(replica.look_up("a", e, false, 0));
+        let cached = mean_nanos(&mut |extent| {
+            std::hint::black_box(replica.look_up("a", extent, false, 0));
         });
-        let chain = &mut |e| {
-            std::hint::black_box(tree.locate(head, e));
+        let walk_ancestors = &mut |extent| {
+            std::hint::black_box(tree.locate(head, extent));
         };
-        let walk = if snapshots > 10 { 0 } else { time(chain) };
-        println!("{snapshots} snapshots: a lookup takes {host} ns (by the chain {walk} ns)");
+        let walked = if snapshots > 10 {
+            0
+        } else {
+            mean_nanos(walk_ancestors)
+        };
+        println!(
+            "{snapshots} snapshots: a cached lookup takes {cached} ns (through the ancestors {walked} ns)"
+        );
     }
 }
--- a/crates/cow/tests/tree_replica.rs
+++ b/crates/cow/tests/tree_replica.rs
@@ -1,34 +1,34 @@
-//! A host's replica of the tree: lookups, its lease, and the slots that it owns.
+//! Tests of a host's replica of the tree: lookups, the host's lease, and the slots that it owns.
 use mallowseam_cow::leases::LEASE_DURATION;
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
 use mallowseam_cow::tree_replica::{Lookup, TreeReplica};
 
 const FIRST_HEAD: LayerId = 1024;
 
-/// A branch of four extents, of which extent 2 is written.
+/// Returns a tree with a branch of four extents, of which extent 2 is written.
 fn tree() -> Tree {
     let mut tree = Tree::default();
     tree.apply(&Change::BranchCreated {
         branch: "a".into(),
         extent_count: 4,
     })
-    .expect("fits");
+    .expect("change fits the tree");
     let layer = tree.branches["a"].head;
     tree.apply(&Change::SlotsAllocated {
         layer,
         first: 0,
         count: 8,
     })
-    .expect("fits");
+    .expect("change fits the tree");
     let location = Location { node: 1, slot: 3 };
     tree.apply(&Change::ExtentPlaced {
         layer,
         extent: 2,
         location,
     })
-    .expect("fits");
+    .expect("change fits the tree");
     tree.apply(&Change::ExtentWritable { layer, extent: 2 })
-        .expect("fits");
+        .expect("change fits the tree");
     tree
 }
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn lookups_before_and_after_a_cut() {
+fn write_after_a_cut_waits_for_the_close_and_then_copies_the_extent() {
     let mut replica = replica();
     let (old_head, location) = (FIRST_HEAD, Location { node: 1, slot: 3 });
     assert_eq!(
@@ -77,7 +77,7 @@
     assert_eq!(
         replica.look_up("a", 2, true, 0),
         Lookup::Blocked,
-        "its node may still take late writes"
+        "the node of the location may still take late writes"
     );
     assert!(replica.apply_change(
         6,
@@ -135,13 +135,13 @@
     assert_eq!(slots, [0, 1, 6]);
     replica.add_slots(FIRST_HEAD, 7, 1);
     let mut frozen = tree();
-    frozen.apply(&freeze_head()).expect("fits");
+    frozen.apply(&freeze_head()).expect("change fits the tree");
     replica.replace_tree(frozen);
     assert_eq!(replica.take_slot(FIRST_HEAD), None);
 }
 
 #[test]
-fn lease_renewal_is_due_at_half_time_and_retried_after_a_quarter() {
+fn lease_renewal_is_due_after_half_the_lease_and_retried_after_a_quarter() {
     let mut replica = replica();
     replica.lease_granted(0, LEASE_DURATION);
     assert!(!replica.renewal_due(100));
@@ -152,10 +152,10 @@
 
 #[test]
 fn change_to_a_branch_without_its_head_is_rejected() {
-    // A tree as it could come from a damaged catalog: branch `a` refers to a layer that does not exist.
-    let text = serde_json::to_string(&tree()).expect("plain data");
+    // A damaged catalog could send such a tree: branch `a` refers to a layer that does not exist.
+    let text = serde_json::to_string(&tree()).expect("a tree is JSON");
     let text = text.replace(r#""head":1024"#, r#""head":1030"#);
-    let tree: Tree = serde_json::from_str(&text).expect("a tree");
+    let tree: Tree = serde_json::from_str(&text).expect("the JSON is a tree");
     let delete = Change::BranchDeleted { branch: "a".into() };
     for change in [freeze_head(), delete] {
         assert_eq!(tree.check(&change), Err(ChangeError::NoSuchLayer(1030)));
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn slots_that_do_not_exist_are_left_out() {
+fn slots_beyond_the_largest_number_are_ignored() {
     let mut replica = replica();
     replica.add_slots(FIRST_HEAD, 7, 0);
     assert_eq!(replica.take_slot(FIRST_HEAD), None);
