--- a/crates/catalog-service/src/error.rs
+++ b/crates/catalog-service/src/error.rs
@@ -4,13 +4,13 @@
 use mallowseam_service_loop::PollError;
 use std::path::PathBuf;
 
-/// Why the snapshot catalog could not start, or could not go on.
+/// Why the snapshot catalog service could not start, or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The configuration lacks the section of the catalog.
-    #[error("no section catalog")]
+    #[error("configuration has no section `catalog`")]
     MissingSection,
-    /// An address or path of the configuration cannot be had, or signals cannot be received.
+    /// An address or path of the configuration cannot be opened, or signals cannot be received.
     #[error(transparent)]
     Start(#[from] StartError),
     /// Polling for socket events failed.
@@ -19,9 +19,9 @@
     /// The store cannot be opened or read.
     #[error("{}: {source}", path.display())]
     OpenStore {
-        /// The store's path in the configuration.
+        /// Path of the store in the configuration.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the store cannot be opened or read.
         source: mallowseam_snapshot_catalog::Error,
     },
     /// A batch of changes could not be stored.
--- a/crates/catalog-service/src/hosts.rs
+++ b/crates/catalog-service/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts' side of the snapshot catalog: leases, slots and locations of extents, and writes that cuts meet.
+//! The hosts' side of the snapshot catalog: leases, slots, locations of extents, and split writes during cuts.
 use crate::node_commands::Purpose;
 use crate::outbox::Hello;
 use crate::pending_locations::PendingLocation;
@@ -11,6 +11,7 @@
 use mallowseam_service_loop::HostId;
 
 impl<N: NodeConnections> CatalogService<N> {
+    /// Handles a message from a host.
     pub(crate) fn on_message(&mut self, id: HostId, message: ToCatalog) {
         match message {
             ToCatalog::Hello {
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Allocates slots of a layer to a host. The host is notified after the change, once that is on disk.
+    /// Allocates slots of a layer to a host. The host is notified once the change is on disk, and after it is sent the
+    /// change itself.
     fn allocate_slots(&mut self, id: HostId, layer: LayerId, count: u32) {
         let Some(first) = self.tree().layers.get(&layer).map(|layer| layer.next_slot) else {
             return;
@@ -84,8 +86,8 @@
         }
     }
 
-    /// A host asks to complete a write that has parts in a layer. Where it may, pending cuts of that layer
-    /// are restarted behind the write.
+    /// Decides whether a host may complete a split write that has parts in a layer. If so, pending cuts of the frozen
+    /// layers in between are restarted after the write.
     fn on_completion_request(&mut self, id: HostId, layer: LayerId) {
         let granted = decide_completion(self.tree(), layer).filter(|decision| decision.is_granted);
         if let Some(decision) = &granted {
@@ -96,7 +98,8 @@
             .send(id, ToHost::CompletionDecision { layer, granted });
     }
 
-    /// A host has copied an extent. A copy that came second is unmapped again.
+    /// Handles the location that a host proposes for an extent that it has copied. If another host was first or the
+    /// change does not fit the tree, the copy is unmapped again.
     fn on_proposed_location(
         &mut self,
         id: HostId,
@@ -116,9 +119,10 @@
         }
     }
 
-    /// Notifies hosts of the location of an extent, which becomes writable once all of them know it.
-    fn place_extent(&mut self, placed: Change, layer: LayerId, extent: u32) {
-        if let Ok(version) = self.tree.propose(placed) {
+    /// Gives an extent a location and notifies hosts of it. The location becomes writable once every host acts on a
+    /// tree that includes it.
+    fn place_extent(&mut self, change: Change, layer: LayerId, extent: u32) {
+        if let Ok(version) = self.tree.propose(change) {
             self.pending_locations.add(PendingLocation {
                 version,
                 layer,
@@ -127,18 +131,24 @@
         }
     }
 
-    /// Rejects the location of a copy. Nothing has ever referred to it, and nothing will: it is unmapped.
+    /// Rejects the location of a copy, and has it unmapped. Nothing has ever referred to the location, and nothing
+    /// will.
     fn reject_location(&mut self, id: HostId, layer: LayerId, extent: u32, location: Location) {
         self.outbox
             .send(id, ToHost::LocationRejected { layer, extent });
         if self.node_commands.has_node(location.node) {
-            let blocks = self.settings.blocks_of(location);
-            self.node_commands
-                .unmap(Purpose::UnmapLateCopy, layer, location, blocks, self.now);
+            let blocks = self.settings.block_range(location);
+            self.node_commands.unmap(
+                Purpose::UnmapRejectedCopy,
+                layer,
+                location,
+                blocks,
+                self.now,
+            );
         }
     }
 
-    /// Asks hosts that pending cuts wait for to quiesce the layer of the cut.
+    /// Asks the hosts for which pending cuts wait to quiesce the layers of these cuts.
     pub(crate) fn quiesce_hosts(&mut self) {
         let active_hosts = self.leases.active_hosts(self.now_millis());
         for request in self.pending_operations.quiesce_requests(&active_hosts) {
@@ -154,7 +164,7 @@
     }
 }
 
-/// The name under which a host holds its lease. A host that has not said hello holds it under an empty name.
+/// Returns the name under which a host holds its lease, which is empty for a host that has not said hello.
 fn lease_holder(host: &Host) -> &str {
     host.name().unwrap_or_default()
 }
--- a/crates/catalog-service/src/lib.rs
+++ b/crates/catalog-service/src/lib.rs
@@ -1,15 +1,15 @@
-//! The snapshot catalog service: stores the tree of layers, replicates its changes to hosts, and has nodes
-//! close layers and unmap reclaimed extents.
+//! The snapshot catalog service. It stores the tree of layers, replicates changes of the tree to hosts, and sends
+//! commands to nodes by which they close layers to writes and unmap reclaimed extents.
 //!
-//! What the service does on an event:
+//! Modules that handle events:
 //! - `hosts`: messages of hosts.
 //! - `operator`: requests on the control socket.
 //! - `operations`: the steps of operations whose end an operator waits for.
 //! - `node_events`: ends of commands at nodes.
 //!
-//! What it owns, one type a file: `settings`, `stored_tree`, `node_commands`, `pending_locations`,
-//! `pending_operations`, `outbox`, `crash_points`. `listing` shows the tree as text. The connections to nodes are the
-//! caller's: [`NodeConnections`].
+//! Modules that hold the service's state, one type per file: `settings`, `stored_tree`, `node_commands`,
+//! `pending_locations`, `pending_operations`, `outbox`, `crash_points`. `listing` formats the tree as text. The caller
+//! provides the connections to nodes: [`NodeConnections`].
 #![warn(missing_docs)]
 
 mod crash_points;
@@ -55,16 +55,18 @@
 use stored_tree::StoredTree;
 use subscription::Subscription;
 
-/// Limits on one host. Messages to the catalog are short, while a full tree may wait to be read.
-const LIMITS: Limits = Limits {
+/// Limits in bytes for one host connection. Messages to the catalog are short, while a full tree may wait to be read by
+/// the host.
+const HOST_LIMITS: Limits = Limits {
     max_line: 64 * 1024,
     max_unsent: 128 << 20,
 };
-/// Ticks between two periodic checks of leases, connections and layers.
+/// Interval between two periodic checks of leases, connections and layers, in ticks.
 const CHECK_PERIOD: Tick = 100;
-/// Ticks after which hosts that have not quiesced a layer get the request again.
+/// Interval at which the quiesce request is sent again to hosts that have not confirmed it, in ticks.
 const QUIESCE_PERIOD: Tick = 2_000;
 
+/// State of the running service. `N` are the connections to the nodes.
 struct CatalogService<N> {
     clock: Clock,
     /// When the last poll returned.
@@ -84,12 +86,13 @@
 
 /// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop.
 ///
-/// `crash_at`: aborts at that crash point. Crash points lie before and after the store takes a batch, after
-/// hosts and operators have been notified, and after a node has answered a command. `connect_nodes`: makes the
-/// connections to the nodes of the configuration, whose tokens begin with the number that it is given.
+/// `crash_at`: number of the crash point at which the process aborts, for tests. There is a crash point before and
+/// after the store commits a batch, one after hosts and operators have been notified of the batch, and one after a
+/// command at a node has ended. `connect_nodes`: returns the connections to the nodes of the configuration. Their poll
+/// tokens begin with the number that it is called with.
 ///
 /// # Errors
-/// An address, path or store of the configuration cannot be had, or the store fails later.
+/// Returns an error if an address, path or store of the configuration cannot be opened, or the store fails later.
 pub fn run<N: NodeConnections>(
     config: &GatewayConfig,
     crash_at: Option<u64>,
@@ -115,7 +118,7 @@
             address,
             section.control_socket.as_deref(),
             config.nodes.len(),
-            LIMITS,
+            HOST_LIMITS,
             poll,
         )?;
         let tree = StoredTree::open(&section.store_path)?;
@@ -130,7 +133,7 @@
             sockets: listening.watch_signals(poll)?,
             leases: HostLeases::new(ticks_to_millis(now), tree.is_new()),
             node_commands: NodeCommands::new(nodes),
-            pending_locations: PendingLocations::of_tree(tree.tree()),
+            pending_locations: PendingLocations::from_tree(tree.tree()),
             pending_operations: PendingOperations::default(),
             outbox: Outbox::default(),
             check_timer: PeriodicTimer::new(CHECK_PERIOD, now),
@@ -142,7 +145,7 @@
         Ok(service)
     }
 
-    /// Creates a branch for each mapped volume that has none yet.
+    /// Creates a branch for each mapped volume of the configuration that has none yet.
     fn create_configured_branches(&mut self) -> Result<(), Error> {
         for volume in self.settings.mapped_volumes() {
             if !self.tree.tree().branches.contains_key(&volume.name) {
@@ -158,17 +161,17 @@
         Ok(())
     }
 
-    /// The tree, with the changes that are not on disk yet.
+    /// Returns the tree, including changes that are not on disk yet.
     fn tree(&self) -> &Tree {
         self.tree.tree()
     }
 
-    /// When the last poll returned, in milliseconds.
+    /// Returns when the last poll returned, in milliseconds.
     fn now_millis(&self) -> Millis {
         ticks_to_millis(self.now)
     }
 
-    /// Periodic checks.
+    /// Runs the periodic checks of leases, connections and layers.
     fn on_timer(&mut self) {
         self.leases.remove_expired(self.now_millis());
         if self.quiesce_timer.take_due(self.now) {
@@ -183,7 +186,7 @@
     fn make_locations_writable(&mut self) {
         let now = ticks_to_millis(self.now);
         for location in self.pending_locations.take_effective(&self.leases, now) {
-            // Rejected if the tree has changed in the meantime: then there is nothing left to do.
+            // The change is rejected if the tree has changed in the meantime. Then nothing is left to do.
             let _ = self.tree.propose(Change::ExtentWritable {
                 layer: location.layer,
                 extent: location.extent,
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Puts the changes of this iteration on disk, then queues them for the hosts. Whether there were any.
+    /// Commits the changes of this iteration to disk, then queues them for the hosts. Returns whether there were any.
     fn store_changes(&mut self) -> Result<bool, Error> {
         let has_changes = self.tree.has_uncommitted_changes();
         if has_changes {
@@ -207,12 +210,12 @@
                 .hosts_mut()
                 .broadcast(&changed, |host| *host.state() == Subscription::Active);
         }
-        self.welcome_hosts();
+        self.update_new_hosts();
         Ok(has_changes)
     }
 
-    /// Sends hosts that have said hello what they lack of what is on disk; later changes follow one by one.
-    fn welcome_hosts(&mut self) {
+    /// Sends each host that has said hello the changes on disk that it lacks. Later changes follow one by one.
+    fn update_new_hosts(&mut self) {
         for hello in self.outbox.take_hellos() {
             if let Some(host) = self.sockets.hosts_mut().get_mut(hello.host) {
                 host.set_state(Subscription::Active);
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Sends what waited for the changes to be on disk.
+    /// Sends the replies that waited for the changes to be on disk.
     fn send_replies(&mut self) {
         self.outbox.send_replies(&mut self.sockets);
         self.sockets.hosts_mut().flush();
@@ -261,7 +264,7 @@
     }
 
     fn after_events(&mut self) -> Result<(), Error> {
-        self.on_ended_commands();
+        self.process_ended_commands();
         self.make_locations_writable();
         if self.check_timer.take_due(self.now) {
             self.on_timer();
--- a/crates/catalog-service/src/listing.rs
+++ b/crates/catalog-service/src/listing.rs
@@ -1,10 +1,10 @@
-//! The tree as text for operators.
+//! Formats the tree as text for operators.
 #[cfg(test)]
 mod tests;
 
 use mallowseam_cow::tree::{Branch, Snapshot, Tree};
 
-/// Volumes and clones, then snapshots, a line each.
+/// Returns a line for each volume and clone, then for each snapshot.
 pub(crate) fn list(tree: &Tree) -> String {
     let branches = tree
         .branches
@@ -19,12 +19,12 @@
 
 fn branch_line(tree: &Tree, name: &str, branch: &Branch) -> String {
     let lun = branch.lun;
-    let own = tree
+    let own_extents = tree
         .layers
         .get(&branch.head)
         .map_or(0, |layer| layer.locations.len());
     let extents = branch.extent_count;
-    let line = format!("{name}  LUN {lun}  {own} of {extents} extents its own");
+    let line = format!("{name}  LUN {lun}  {own_extents} of {extents} extents its own");
     match &branch.origin {
         Some(snapshot) => format!("{line}  clone of {snapshot}"),
         None => line,
@@ -36,28 +36,29 @@
     format!("{name}  LUN {lun}  layer {layer}")
 }
 
-/// Blocks from the first to the last.
-struct BlockRun {
+/// A range of blocks, both ends included.
+struct BlockRange {
     first: u64,
     last: u64,
 }
 
-/// Extents as runs of blocks, first to last, a line each.
-pub(crate) fn block_runs(extents: &[u32], extent_blocks: u64) -> String {
-    let mut runs: Vec<BlockRun> = Vec::new();
+/// Formats extents as ranges of blocks, `FIRST-LAST`, one per line. Adjacent extents form one range.
+pub(crate) fn format_block_ranges(extents: &[u32], extent_blocks: u64) -> String {
+    let mut ranges: Vec<BlockRange> = Vec::new();
     for extent in extents {
         let first = u64::from(*extent) * extent_blocks;
         let last = first + extent_blocks - 1;
-        match runs.last_mut() {
+        match ranges.last_mut() {
             Some(previous) if previous.last + 1 == first => previous.last = last,
-            _ => runs.push(BlockRun { first, last }),
+            _ => ranges.push(BlockRange { first, last }),
         }
     }
-    if runs.is_empty() {
+    if ranges.is_empty() {
         return "no difference".to_owned();
     }
-    runs.iter()
-        .map(|run| format!("{}-{}", run.first, run.last))
+    ranges
+        .iter()
+        .map(|range| format!("{}-{}", range.first, range.last))
         .collect::<Vec<_>>()
         .join("\n")
 }
--- a/crates/catalog-service/src/node_commands.rs
+++ b/crates/catalog-service/src/node_commands.rs
@@ -1,4 +1,4 @@
-//! The catalog's commands at nodes: layers are closed to writes, extents are unmapped.
+//! The catalog's commands at nodes, by which they close layers to writes and unmap extents.
 #[cfg(test)]
 mod tests;
 
@@ -8,40 +8,40 @@
 use mallowseam_scheduler::interface::Tick;
 use std::collections::BTreeMap;
 
-/// Ticks that a node has to carry a command out: two seconds. A cut, which waits for nodes to close layers, fails
-/// after five.
+/// Time within which a node has to complete a command, in ticks: two seconds. A cut, which waits for nodes to close
+/// layers, fails after five seconds.
 const COMMAND_TIMEOUT: Tick = 20_000;
 
-/// What a command at a node is for.
+/// Purpose of a command at a node.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Purpose {
-    /// Close a frozen layer to writes.
+    /// Closes a frozen layer to writes.
     CloseLayer { layer: LayerId, node: u32 },
-    /// Unmap an extent that nothing refers to any more.
+    /// Unmaps an extent that nothing refers to any more.
     UnmapExtent { layer: LayerId, extent: u32 },
-    /// Unmap a copy that came second. What is left of it if its node does not answer, `verify` finds.
-    UnmapLateCopy,
+    /// Unmaps a copy whose location was rejected. If its node does not answer, `verify` finds what is left of the copy.
+    UnmapRejectedCopy,
 }
 
-/// A command that a node has carried out or failed.
+/// A command that a node has completed or failed.
 pub(crate) struct EndedCommand {
     pub(crate) purpose: Purpose,
     pub(crate) has_succeeded: bool,
 }
 
-/// A command whose node has not answered in time.
-pub(crate) struct LateCommand {
+/// A command whose node has not answered before the deadline.
+pub(crate) struct TimedOutCommand {
     pub(crate) purpose: Purpose,
     tag: u32,
 }
 
-/// A command in flight.
+/// A command in flight at a node.
 struct NodeCommand {
     purpose: Purpose,
     deadline: Tick,
 }
 
-/// A command descriptor block with the data that goes with it.
+/// A command descriptor block with the data to be sent with it.
 struct CommandBlock {
     cdb: [u8; 16],
     data: Vec<u8>,
@@ -56,13 +56,13 @@
 /// The connections to nodes, and the commands in flight there.
 pub(crate) struct NodeCommands<N> {
     nodes: N,
-    /// By tag.
+    /// Commands in flight, by tag.
     in_flight: BTreeMap<u32, NodeCommand>,
     last_tag: u32,
 }
 
 impl<N: NodeConnections> NodeCommands<N> {
-    /// Sends commands over the connections to the nodes.
+    /// Returns an instance without commands in flight, which sends commands over the connections `nodes`.
     pub(crate) fn new(nodes: N) -> Self {
         NodeCommands {
             nodes,
@@ -71,12 +71,13 @@
         }
     }
 
-    /// Whether the configuration has a node of this index. Locations name nodes by index, and come from hosts.
+    /// Returns whether the configuration has a node of this index. The check is needed for locations, which name nodes
+    /// by index and come from hosts.
     pub(crate) fn has_node(&self, node: u32) -> bool {
         (node as usize) < self.nodes.count()
     }
 
-    /// The name of a node for operators.
+    /// Returns the name of a node for operators, or its index if the configuration does not have it.
     pub(crate) fn node_name(&self, node: u32) -> String {
         if self.has_node(node) {
             self.nodes.name(node as usize).to_owned()
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The connection to a node is ready.
+    /// Handles a connection to a node that is ready.
     pub(crate) fn on_node_ready(&mut self, node: usize, readable: bool, now: Tick) {
         self.nodes.on_ready(node, readable, now);
     }
@@ -95,13 +96,13 @@
         self.nodes.on_timer(now);
     }
 
-    /// Writes what waits for the nodes.
+    /// Writes the commands that are queued for the nodes.
     pub(crate) fn flush(&mut self) {
         self.nodes.flush();
     }
 
-    /// Has every node that holds extents of a frozen layer close it to writes. A command that fails is sent again by
-    /// the next call.
+    /// Commands every node that holds extents of a frozen layer to close the layer to writes. A command that has failed
+    /// is sent again by the next call.
     pub(crate) fn close_layers(&mut self, tree: &Tree, now: Tick) {
         for (layer, node) in tree.pending_closes() {
             let purpose = Purpose::CloseLayer { layer, node };
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Has a node unmap a location in the unit of a layer. `blocks`: its first block and number of blocks.
+    /// Commands a node to unmap a location in the logical unit of a layer. `blocks`: the first block and the number of
+    /// blocks of the location.
     pub(crate) fn unmap(
         &mut self,
         purpose: Purpose,
@@ -131,8 +133,8 @@
             .any(|command| command.purpose == purpose)
     }
 
-    /// Sends a command to the unit of a layer at a node. At a node that the configuration does not have it times
-    /// out.
+    /// Sends a command to the logical unit of a layer at a node. If the configuration does not have the node, the
+    /// command is not sent and times out.
     fn send(
         &mut self,
         purpose: Purpose,
@@ -157,7 +159,7 @@
         self.nodes.submit(node as usize, command, now);
     }
 
-    /// The next command that a node has carried out or failed.
+    /// Removes and returns the next command that a node has completed or failed.
     pub(crate) fn next_ended(&mut self) -> Option<EndedCommand> {
         while let Some(finished) = self.nodes.next_finished() {
             if let Some(command) = self.in_flight.remove(&finished.tag) {
@@ -170,21 +172,21 @@
         None
     }
 
-    /// Removes the commands whose time is over, in the order in which they were sent.
-    pub(crate) fn take_late(&mut self, now: Tick) -> Vec<LateCommand> {
+    /// Removes and returns the commands whose deadline has passed, in the order in which they were sent.
+    pub(crate) fn take_timed_out(&mut self, now: Tick) -> Vec<TimedOutCommand> {
         self.in_flight
             .extract_if(.., |_, command| command.deadline <= now)
-            .map(|(tag, command)| LateCommand {
+            .map(|(tag, command)| TimedOutCommand {
                 purpose: command.purpose,
                 tag,
             })
             .collect()
     }
 
-    /// Stops waiting for a late command at a node.
-    pub(crate) fn cancel(&mut self, node: u32, late: &LateCommand, now: Tick) {
+    /// Cancels a timed-out command at a node.
+    pub(crate) fn cancel(&mut self, node: u32, timed_out: &TimedOutCommand, now: Tick) {
         if self.has_node(node) {
-            self.nodes.cancel(node as usize, late.tag, now);
+            self.nodes.cancel(node as usize, timed_out.tag, now);
         }
     }
 }
--- a/crates/catalog-service/src/node_connections.rs
+++ b/crates/catalog-service/src/node_connections.rs
@@ -1,50 +1,50 @@
-//! The connections to storage nodes, as the catalog uses them.
+//! The interface through which the catalog uses its connections to storage nodes.
 use mallowseam_scheduler::interface::Tick;
 
-/// A command to the unit of a layer.
+/// A SCSI command to the logical unit of a layer.
 pub struct UnitCommand {
-    /// Unique among the commands in flight.
+    /// Tag that is unique among the commands in flight.
     pub tag: u32,
-    /// The unit.
+    /// LUN of the logical unit, which is the id of the layer.
     pub lun: u32,
     /// Command descriptor block.
     pub cdb: [u8; 16],
-    /// Bytes that are written.
+    /// Data that is sent with the command.
     pub data: Vec<u8>,
 }
 
-/// A command that has ended by itself.
+/// A command that has ended without being cancelled.
 pub struct FinishedCommand {
-    /// The command's tag.
+    /// Tag of the command.
     pub tag: u32,
-    /// Whether the node has carried it out.
+    /// Whether the node has completed the command.
     pub has_succeeded: bool,
 }
 
-/// The connections to the nodes of the configuration, which are known by their indices there. They are watched by
-/// the event loop of the catalog, and opened as commands need them.
+/// The connections to the nodes of the configuration, which are identified by their indices there. The event loop of
+/// the catalog watches the connections. A connection is opened when a command needs it.
 pub trait NodeConnections {
-    /// How many nodes there are.
+    /// Returns the number of nodes.
     fn count(&self) -> usize;
 
-    /// The name of a node.
+    /// Returns the name of a node.
     fn name(&self, node: usize) -> &str;
 
-    /// The socket of a node is ready, to be read if `readable`, and to be written in any case.
+    /// Handles the socket of a node that is ready: for reading if `readable`, and for writing in any case.
     fn on_ready(&mut self, node: usize, readable: bool, now: Tick);
 
-    /// Sends a command to a node.
+    /// Queues a command to a node.
     fn submit(&mut self, node: usize, command: UnitCommand, now: Tick);
 
-    /// Stops waiting for a command; one that was sent is aborted.
+    /// Cancels a command. If it was sent, it is aborted at the node.
     fn cancel(&mut self, node: usize, tag: u32, now: Tick);
 
-    /// The next command that has ended by itself.
+    /// Returns the next command that has ended without being cancelled.
     fn next_finished(&mut self) -> Option<FinishedCommand>;
 
     /// Closes connections that have timed out.
     fn on_timer(&mut self, now: Tick);
 
-    /// Writes what waits for the nodes.
+    /// Writes the commands that are queued for the nodes.
     fn flush(&mut self);
 }
--- a/crates/catalog-service/src/node_events.rs
+++ b/crates/catalog-service/src/node_events.rs
@@ -1,21 +1,21 @@
-//! The nodes' side of the snapshot catalog: what is sent to them, and ends of commands.
+//! The nodes' side of the snapshot catalog: which commands are sent to nodes, and what happens when commands end.
 use crate::node_commands::Purpose;
 use crate::{CatalogService, NodeConnections};
 use mallowseam_cow::tree::Change;
 
 impl<N: NodeConnections> CatalogService<N> {
-    /// Has nodes close frozen layers to writes.
+    /// Commands nodes to close frozen layers to writes.
     pub(crate) fn close_layers(&mut self) {
         self.node_commands.close_layers(self.tree.tree(), self.now);
     }
 
-    /// Has nodes unmap extents that nothing refers to any more, and removes empty layers.
+    /// Commands nodes to unmap extents that nothing refers to any more, and removes empty layers.
     pub(crate) fn reclaim_extents(&mut self) {
         let retained = self.pending_operations.layers_of_cuts();
         let unreachable = self.tree.next_unreachable(
             &retained,
             &self.leases,
-            self.settings.longest_write(),
+            self.settings.max_write_duration(),
             self.now_millis(),
         );
         for extent in unreachable {
@@ -23,15 +23,15 @@
                 layer: extent.layer,
                 extent: extent.extent,
             };
-            let blocks = self.settings.blocks_of(extent.location);
+            let blocks = self.settings.block_range(extent.location);
             self.node_commands
                 .unmap(purpose, extent.layer, extent.location, blocks, self.now);
         }
         self.tree.remove_empty_layers(&retained);
     }
 
-    /// Takes commands that nodes have answered, and gives up those whose time is over.
-    pub(crate) fn on_ended_commands(&mut self) {
+    /// Processes the commands that nodes have answered, and cancels those that have timed out.
+    pub(crate) fn process_ended_commands(&mut self) {
         while let Some(ended) = self.node_commands.next_ended() {
             self.crash_points.pass();
             if ended.has_succeeded {
@@ -40,16 +40,16 @@
                 self.on_command_failed(ended.purpose);
             }
         }
-        for late in self.node_commands.take_late(self.now) {
-            if let Some(node) = self.node_of(late.purpose) {
-                self.node_commands.cancel(node, &late, self.now);
+        for timed_out in self.node_commands.take_timed_out(self.now) {
+            if let Some(node) = self.node_of(timed_out.purpose) {
+                self.node_commands.cancel(node, &timed_out, self.now);
             }
             self.crash_points.pass();
-            self.on_command_failed(late.purpose);
+            self.on_command_failed(timed_out.purpose);
         }
     }
 
-    /// The node of a command, where that is still known.
+    /// Returns the node of a command, if it is still known.
     fn node_of(&self, purpose: Purpose) -> Option<u32> {
         match purpose {
             Purpose::CloseLayer { node, .. } => Some(node),
@@ -57,18 +57,18 @@
                 let location = self.tree.location_of(layer, extent)?;
                 Some(location.node)
             }
-            Purpose::UnmapLateCopy => None,
+            Purpose::UnmapRejectedCopy => None,
         }
     }
 
     fn on_command_done(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::CloseLayer { layer, node } => {
-                // Rejected if the tree has changed in the meantime: then there is nothing left to do.
+                // The change is rejected if the tree has changed in the meantime. Then nothing is left to do.
                 let _ = self.tree.propose(Change::LayerClosed { layer, node });
             }
             Purpose::UnmapExtent { layer, extent } => self.tree.on_unmapped(layer, extent),
-            Purpose::UnmapLateCopy => {}
+            Purpose::UnmapRejectedCopy => {}
         }
     }
 
@@ -78,8 +78,8 @@
                 let now = self.now_millis();
                 self.tree.on_unmap_failed(layer, extent, now);
             }
-            // `close_layers` sends its command again; a late copy is left to `verify`.
-            Purpose::CloseLayer { .. } | Purpose::UnmapLateCopy => {}
+            // `close_layers` sends its command again. What is left of a rejected copy is found by `verify`.
+            Purpose::CloseLayer { .. } | Purpose::UnmapRejectedCopy => {}
         }
     }
 }
--- a/crates/catalog-service/src/operations.rs
+++ b/crates/catalog-service/src/operations.rs
@@ -1,4 +1,4 @@
-//! The steps of operations whose end an operator waits for.
+//! The steps of pending operations, whose end an operator waits for.
 use crate::pending_operations::{Operation, PendingOperation, Rollout, SnapshotRequest};
 use crate::{CatalogService, NodeConnections};
 use mallowseam_control_protocol::control_socket::ConnectionId;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Begins a snapshot once all hosts that may act are known.
+    /// Begins a requested snapshot once all hosts that may act are known.
     fn advance_request(&mut self, connection: ConnectionId, request: SnapshotRequest) {
         if !self.leases.all_hosts_known(self.now_millis()) {
             self.pending_operations
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Answers the operator once a change is effective.
+    /// Answers the operator once the change of a rollout is effective.
     fn advance_rollout(&mut self, connection: ConnectionId, rollout: Rollout) {
         if rollout.is_complete(self.tree(), &self.leases, self.now_millis()) {
             self.outbox.answer(connection, rollout.answer);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes the next step of a snapshot in progress. Returns its branch if the cut has ended.
+    /// Takes the next step of a cut in progress. Returns its branch if the cut has ended.
     fn advance_cut(&mut self, connection: ConnectionId, cut: ConsistentCut) -> Option<String> {
         match cut.progress(self.tree(), self.now_millis()) {
             CutProgress::Wait => {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Freezes the present head in place of the layer that was frozen before.
+    /// Restarts a cut: freezes the current head in place of the layer that the cut froze before.
     fn restart_cut(&mut self, connection: ConnectionId, mut cut: ConsistentCut) {
         let active_hosts = self.leases.active_hosts(self.now_millis());
         if let Some(change) = cut.restart(self.tree(), active_hosts) {
@@ -83,7 +83,7 @@
         self.quiesce_hosts();
     }
 
-    /// Names the frozen layer. The operator is answered once every host knows the snapshot's unit.
+    /// Creates the snapshot of a cut. The operator is answered once every host knows the snapshot and its LUN.
     fn grant_snapshot(&mut self, connection: ConnectionId, cut: &ConsistentCut, change: Change) {
         let snapshot = snapshot_name(cut);
         match self.create_snapshot(&snapshot, change) {
@@ -92,7 +92,7 @@
                 self.pending_operations
                     .add(connection, Operation::Rollout(rollout));
             }
-            Err(refused) => self.outbox.refuse(connection, &refused),
+            Err(error) => self.outbox.refuse(connection, &error),
         }
     }
 
@@ -101,12 +101,12 @@
         let lun = self.tree().snapshot(snapshot)?.lun;
         Ok(Rollout {
             version,
-            closing: None,
+            closing_layer: None,
             answer: format!("{snapshot} granted, LUN {lun}"),
         })
     }
 
-    /// A cut has ended: hosts may begin split writes again, if no other cut of the branch is pending.
+    /// Lets hosts begin split writes again after a cut of a branch has ended, unless another cut of it is pending.
     fn on_cut_end(&mut self, branch: &str) {
         if self.pending_operations.has_cut_of(branch) {
             return;
@@ -120,7 +120,7 @@
     }
 }
 
-/// The full name of the snapshot that a cut is for.
+/// Returns the full name of the snapshot that a cut is for.
 fn snapshot_name(cut: &ConsistentCut) -> String {
     format!("{}@{}", cut.branch, cut.name)
 }
--- a/crates/catalog-service/src/operator.rs
+++ b/crates/catalog-service/src/operator.rs
@@ -1,5 +1,5 @@
 //! The operator's side of the snapshot catalog: requests on the control socket.
-use crate::listing::{block_runs, list};
+use crate::listing::{format_block_ranges, list};
 use crate::pending_operations::{Operation, Rollout, SnapshotRequest};
 use crate::{CatalogService, NodeConnections};
 use mallowseam_control_protocol::control_socket::ConnectionId;
@@ -7,15 +7,17 @@
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
 use mallowseam_service_loop::Answer;
 
-/// Why a request is refused, or an operation failed.
+/// Why a request of an operator is refused, or an operation has failed. Operators read these texts on the control
+/// socket.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum OperatorError {
+    /// The change does not fit the tree.
     #[error(transparent)]
     Refused(#[from] ChangeError),
-    /// These hosts have split writes in flight, or have not reported that their writes are quiesced.
+    /// The named hosts have split writes in flight, or have not confirmed that they have none.
     #[error("writes under way at {}; no snapshot was made", .0.join(", "))]
     HostsNotQuiesced(Vec<String>),
-    /// These nodes have not closed their layers in time.
+    /// The named nodes have not closed their layers in time.
     #[error("not closed in time by {}; no snapshot was made", .0.join(", "))]
     NodesNotClosed(Vec<String>),
     #[error("`{0}`: a volume of the configuration")]
@@ -29,7 +31,7 @@
 }
 
 impl<N: NodeConnections> CatalogService<N> {
-    /// Handles a line on the control socket.
+    /// Handles a request on the control socket, which is one line.
     pub(crate) fn on_request(&mut self, connection: ConnectionId, line: &str) {
         match self.execute(connection, line) {
             Ok(Answer::Now(answer)) => self.outbox.answer(connection, answer),
@@ -46,7 +48,7 @@
             ["rollback", branch, snapshot] => self.roll_back(connection, branch, snapshot),
             ["delete", name] => self.delete(name).map(Answer::Now),
             ["list"] => Ok(Answer::Now(list(self.tree()))),
-            ["diff", one, other] => self.diff(one, other).map(Answer::Now),
+            ["diff", first, second] => self.diff(first, second).map(Answer::Now),
             ["tree"] => Ok(Answer::Now(serde_json::to_string(self.tree())?)),
             ["stop"] => {
                 self.sockets.request_stop();
@@ -75,7 +77,7 @@
         Ok(Answer::Later)
     }
 
-    /// Freezes the head of a branch; the snapshot is granted once nodes and hosts have answered.
+    /// Begins a cut: freezes the head of a branch. The snapshot is granted once nodes and hosts have answered.
     pub(crate) fn begin_cut(
         &mut self,
         connection: ConnectionId,
@@ -93,13 +95,13 @@
         .map_err(|failure| self.cut_error(failure))?;
         self.tree.propose(change)?;
         self.pending_operations.add(connection, Operation::Cut(cut));
-        // Without this, nodes and hosts would be asked only at the next periodic check.
+        // Otherwise nodes and hosts would be asked only at the next periodic checks.
         self.close_layers();
         self.quiesce_hosts();
         Ok(())
     }
 
-    /// The failure of a cut, with nodes by their names.
+    /// Returns the failure of a cut as an error for operators, which gives nodes by their names.
     pub(crate) fn cut_error(&self, failure: CutFailure) -> OperatorError {
         match failure {
             CutFailure::Rejected(error) => OperatorError::Refused(error),
@@ -126,7 +128,7 @@
         let lun = self.tree().branch(branch)?.lun;
         let rollout = Rollout {
             version,
-            closing: None,
+            closing_layer: None,
             answer: format!("{branch} made, LUN {lun}"),
         };
         self.pending_operations
@@ -147,7 +149,7 @@
         })?;
         let rollout = Rollout {
             version,
-            closing: Some(old_head),
+            closing_layer: Some(old_head),
             answer: format!("{branch} shows {snapshot}"),
         };
         self.pending_operations
@@ -175,24 +177,27 @@
         ))
     }
 
-    /// Runs of blocks in which two volumes, clones or snapshots may differ.
-    fn diff(&self, one: &str, other: &str) -> Result<String, OperatorError> {
+    /// Returns the ranges of blocks in which two volumes, clones or snapshots may differ, as text.
+    fn diff(&self, first: &str, second: &str) -> Result<String, OperatorError> {
         let tree = self.tree();
-        let one_layer = layer_of(tree, one)?;
-        let other_layer = layer_of(tree, other)?;
-        let extent_count = extent_count(tree, one).max(extent_count(tree, other));
-        let differing = tree.diff(one_layer, other_layer, extent_count);
-        Ok(block_runs(&differing, self.settings.extent_blocks()))
+        let first_layer = layer_read_by(tree, first)?;
+        let second_layer = layer_read_by(tree, second)?;
+        let extent_count = extent_count(tree, first).max(extent_count(tree, second));
+        let differing = tree.diff(first_layer, second_layer, extent_count);
+        Ok(format_block_ranges(
+            &differing,
+            self.settings.extent_blocks(),
+        ))
     }
 }
 
-/// The layer through which a volume, clone or snapshot is read.
-fn layer_of(tree: &Tree, name: &str) -> Result<LayerId, OperatorError> {
+/// Returns the layer through which a volume, clone or snapshot is read.
+fn layer_read_by(tree: &Tree, name: &str) -> Result<LayerId, OperatorError> {
     tree.layer_read_by(name)
         .ok_or_else(|| OperatorError::NoSuchName(name.to_owned()))
 }
 
-/// Extents of a volume, clone or snapshot; 0 if there is none of this name.
+/// Returns the size in extents of a volume, clone or snapshot, or 0 if there is none of this name.
 fn extent_count(tree: &Tree, name: &str) -> u32 {
     let branch = tree.branches.get(name).map(|branch| branch.extent_count);
     let snapshot = tree
--- a/crates/catalog-service/src/outbox.rs
+++ b/crates/catalog-service/src/outbox.rs
@@ -1,4 +1,4 @@
-//! What is sent to hosts and operators once the changes of an iteration are on disk.
+//! The replies to hosts and operators that are sent once the changes of an iteration are on disk.
 use crate::subscription::Subscription;
 use mallowseam_control_protocol::control_socket::{self, ConnectionId};
 use mallowseam_cow::messages::{ToHost, TreeVersion};
@@ -6,18 +6,19 @@
 use mallowseam_service_loop::ServiceSockets;
 use std::fmt::Display;
 
-/// A host that has said hello, with the version of its replica, if it has one.
+/// The hello of a host, with the version of its replica, if it has one.
 pub(crate) struct Hello {
     pub(crate) host: HostId,
     pub(crate) replica_version: Option<TreeVersion>,
 }
 
+/// A reply that waits for the changes of the iteration to be on disk.
 enum Reply {
     Operator(ConnectionId, String),
     Host(HostId, ToHost),
 }
 
-/// Hosts to welcome and replies to send, each in order.
+/// The hellos to answer and the replies to send, each in order.
 #[derive(Default)]
 pub(crate) struct Outbox {
     hellos: Vec<Hello>,
@@ -25,32 +26,32 @@
 }
 
 impl Outbox {
-    /// A host is to be sent what it lacks of the tree.
+    /// Adds the hello of a host that is to be sent the changes that it lacks.
     pub(crate) fn add_hello(&mut self, hello: Hello) {
         self.hellos.push(hello);
     }
 
-    /// Sends a message to a host, if it is still connected then.
+    /// Queues a message to a host. It is dropped if the host is not connected any more when the replies are sent.
     pub(crate) fn send(&mut self, host: HostId, message: ToHost) {
         self.replies.push(Reply::Host(host, message));
     }
 
-    /// Answers an operator.
+    /// Queues an answer to an operator.
     pub(crate) fn answer(&mut self, connection: ConnectionId, text: String) {
         self.replies.push(Reply::Operator(connection, text));
     }
 
-    /// Tells an operator why a request is refused, or why its operation failed.
+    /// Queues an answer that tells an operator why a request is refused, or why its operation has failed.
     pub(crate) fn refuse(&mut self, connection: ConnectionId, reason: &impl Display) {
         self.answer(connection, control_socket::refusal(reason));
     }
 
-    /// The hosts that have said hello in this iteration.
+    /// Removes and returns the hellos of this iteration.
     pub(crate) fn take_hellos(&mut self) -> Vec<Hello> {
         std::mem::take(&mut self.hellos)
     }
 
-    /// Queues all replies at the connections that they are for.
+    /// Moves all replies to the send queues of their connections.
     pub(crate) fn send_replies(&mut self, sockets: &mut ServiceSockets<Subscription>) {
         for reply in self.replies.drain(..) {
             match reply {
--- a/crates/catalog-service/src/pending_locations.rs
+++ b/crates/catalog-service/src/pending_locations.rs
@@ -1,4 +1,4 @@
-//! Locations of extents that hosts were notified of and may not write to yet.
+//! Pending locations: hosts were notified of them, and may not write to them yet.
 #[cfg(test)]
 mod tests;
 
@@ -6,9 +6,10 @@
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::tree::{LayerId, Tree};
 
-/// The location of an extent that hosts were notified of. It becomes writable once no host acts on an older
+/// A new location of an extent, of which hosts were notified. It becomes writable once no host acts on an older
 /// version.
 pub(crate) struct PendingLocation {
+    /// Version of the tree at which the extent got the location.
     pub(crate) version: u64,
     pub(crate) layer: LayerId,
     pub(crate) extent: u32,
@@ -20,8 +21,8 @@
 }
 
 impl PendingLocations {
-    /// The locations in a stored tree that were not writable when the catalog stopped.
-    pub(crate) fn of_tree(tree: &Tree) -> Self {
+    /// Returns the locations in a stored tree that were not writable when the catalog stopped.
+    pub(crate) fn from_tree(tree: &Tree) -> Self {
         let version = tree.version;
         let locations = tree.layers.iter().flat_map(|(layer, content)| {
             let extents = content.locations.keys();
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Hosts are notified of a location.
+    /// Adds a location of which hosts are notified.
     pub(crate) fn add(&mut self, location: PendingLocation) {
         self.locations.push(location);
     }
 
-    /// Removes the locations that every host that may act knows.
+    /// Removes and returns the locations that every host that may act has in its replica.
     pub(crate) fn take_effective(
         &mut self,
         leases: &HostLeases,
--- a/crates/catalog-service/src/pending_locations/tests.rs
+++ b/crates/catalog-service/src/pending_locations/tests.rs
@@ -1,4 +1,4 @@
-//! When locations become writable.
+//! Tests of pending locations: a location must not become writable while a host acts on a tree without it.
 use super::{PendingLocation, PendingLocations};
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::tree::{Change, Location, Tree};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn locations_of_a_stored_tree_that_are_not_writable_are_pending() {
+fn locations_of_a_stored_tree_are_pending_if_they_are_not_writable() {
     let mut tree = Tree::default();
     let place = |extent| Change::ExtentPlaced {
         layer: 1024,
@@ -56,9 +56,9 @@
             extent: 4,
         },
     ] {
-        tree.apply(&change).expect("fits");
+        tree.apply(&change).expect("change fits the tree");
     }
-    let locations = PendingLocations::of_tree(&tree).locations;
+    let locations = PendingLocations::from_tree(&tree).locations;
     assert_eq!(extents(&locations), [5]);
     assert_eq!(locations[0].version, tree.version);
 }
--- a/crates/catalog-service/src/pending_operations.rs
+++ b/crates/catalog-service/src/pending_operations.rs
@@ -1,4 +1,4 @@
-//! Operations whose end operators wait for.
+//! Pending operations, whose end operators wait for.
 #[cfg(test)]
 mod tests;
 
@@ -9,46 +9,48 @@
 use mallowseam_cow::tree::{LayerId, Tree};
 use std::collections::BTreeSet;
 
-/// An operation, with the operator who waits for its end.
+/// An operation, with the connection of the operator who waits for its end.
 pub(crate) struct PendingOperation {
     pub(crate) connection: ConnectionId,
     pub(crate) operation: Operation,
 }
 
-/// What an operator waits for.
+/// An operation whose end an operator waits for.
 pub(crate) enum Operation {
-    /// A snapshot is begun once all hosts that may act are known.
+    /// A requested snapshot, whose cut begins once all hosts that may act are known.
     BeginCut(SnapshotRequest),
-    /// A snapshot is in progress.
+    /// A cut in progress.
     Cut(ConsistentCut),
-    /// A change becomes effective.
+    /// A change that has to become effective.
     Rollout(Rollout),
 }
 
-/// A request for a snapshot.
+/// A request of an operator for a snapshot.
 pub(crate) struct SnapshotRequest {
     pub(crate) branch: String,
     pub(crate) name: String,
 }
 
-/// A change that becomes effective once no host acts on an older version, and nodes have closed a layer.
+/// A change that becomes effective once no host acts on an older version, and all nodes have closed a layer if the
+/// change needs that.
 pub(crate) struct Rollout {
+    /// Version of the tree after the change.
     pub(crate) version: u64,
-    /// The layer, where one has to be closed.
-    pub(crate) closing: Option<LayerId>,
-    /// What the operator is told then.
+    /// Layer that nodes have to close. None: the change needs no layer to be closed.
+    pub(crate) closing_layer: Option<LayerId>,
+    /// Answer to the operator once the change is effective.
     pub(crate) answer: String,
 }
 
 impl Rollout {
-    /// Whether the change is effective at all hosts and nodes.
+    /// Returns whether the change is effective at all hosts and nodes.
     pub(crate) fn is_complete(&self, tree: &Tree, leases: &HostLeases, now: Millis) -> bool {
         let is_open = |layer| tree.layers.contains_key(&layer) && has_pending_close(tree, layer);
-        !self.closing.is_some_and(is_open) && leases.is_effective(self.version, now)
+        !self.closing_layer.is_some_and(is_open) && leases.is_effective(self.version, now)
     }
 }
 
-/// Whether a node has yet to close a layer.
+/// Returns whether a node still has to close a layer.
 fn has_pending_close(tree: &Tree, layer: LayerId) -> bool {
     tree.pending_closes().any(|(pending, _)| pending == layer)
 }
@@ -57,7 +59,7 @@
 pub(crate) struct QuiesceRequest {
     pub(crate) layer: LayerId,
     pub(crate) branch: String,
-    /// Names of the hosts that have not quiesced it.
+    /// Names of the hosts that have not quiesced the layer.
     pub(crate) hosts: BTreeSet<String>,
 }
 
@@ -68,7 +70,7 @@
 }
 
 impl PendingOperations {
-    /// An operator waits for an operation.
+    /// Adds an operation for whose end an operator waits.
     pub(crate) fn add(&mut self, connection: ConnectionId, operation: Operation) {
         self.operations.push(PendingOperation {
             connection,
@@ -76,7 +78,7 @@
         });
     }
 
-    /// Removes all operations, of which the caller adds those that are not over.
+    /// Removes and returns all operations. The caller adds those again that are still pending.
     pub(crate) fn take_all(&mut self) -> Vec<PendingOperation> {
         std::mem::take(&mut self.operations)
     }
@@ -99,24 +101,25 @@
             })
     }
 
-    /// The frozen layers of all cuts in progress.
+    /// Returns the frozen layers of all cuts in progress.
     pub(crate) fn layers_of_cuts(&self) -> BTreeSet<LayerId> {
         self.cuts().map(|cut| cut.layer).collect()
     }
 
-    /// Whether a cut of a branch is in progress.
+    /// Returns whether a cut of a branch is in progress.
     pub(crate) fn has_cut_of(&self, branch: &str) -> bool {
         self.cuts().any(|cut| cut.branch == branch)
     }
 
-    /// A host has quiesced a layer.
+    /// Records that a host has quiesced a layer.
     pub(crate) fn on_host_quiesced(&mut self, layer: LayerId, host: &str) {
         for cut in self.cuts_mut() {
             cut.host_quiesced(layer, host);
         }
     }
 
-    /// A write with parts in these frozen layers is completed in a later one: their cuts are restarted behind it.
+    /// Marks the cuts of these frozen layers as stale: a split write with parts there is completed in a later layer,
+    /// and the cuts are restarted after it.
     pub(crate) fn mark_stale(&mut self, frozen_layers: &BTreeSet<LayerId>) {
         for cut in self.cuts_mut() {
             if frozen_layers.contains(&cut.layer) {
@@ -125,7 +128,7 @@
         }
     }
 
-    /// What hosts are to quiesce, a request for each cut. `active_hosts`: those that may act.
+    /// Returns a quiesce request for each cut in progress. `active_hosts`: the hosts that may act.
     pub(crate) fn quiesce_requests(
         &mut self,
         active_hosts: &BTreeSet<String>,
--- a/crates/catalog-service/src/pending_operations/tests.rs
+++ b/crates/catalog-service/src/pending_operations/tests.rs
@@ -1,4 +1,4 @@
-//! When rollouts are complete, and what cuts in progress ask of hosts.
+//! Tests of pending operations: when rollouts are complete, and which hosts cuts in progress ask to quiesce.
 use super::{Operation, PendingOperations, Rollout, SnapshotRequest};
 use mallowseam_cow::consistent_cut::{ConsistentCut, CutProgress};
 use mallowseam_cow::leases::HostLeases;
@@ -7,7 +7,7 @@
 
 const HEAD: LayerId = 1024;
 
-/// A branch with one extent at node 0.
+/// Returns a tree with a branch of which one extent is written, at node 0.
 fn tree() -> Tree {
     let mut tree = Tree::default();
     for change in [
@@ -26,7 +26,7 @@
             location: Location { node: 0, slot: 1 },
         },
     ] {
-        tree.apply(&change).expect("fits");
+        tree.apply(&change).expect("change fits the tree");
     }
     tree
 }
@@ -35,23 +35,23 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// The tree with a cut of its branch begun, and the cut.
+/// Returns the tree after a cut of its branch has begun, and the cut.
 fn cut_in_progress() -> (Tree, ConsistentCut) {
     let mut tree = tree();
-    let (freeze, cut) =
-        ConsistentCut::begin(&tree, "a", "s", hosts(&["gw0", "gw1"]), 0).expect("a cut");
-    tree.apply(&freeze).expect("fits");
+    let (freeze, cut) = ConsistentCut::begin(&tree, "a", "s", hosts(&["gw0", "gw1"]), 0)
+        .expect("the cut can begin");
+    tree.apply(&freeze).expect("change fits the tree");
     (tree, cut)
 }
 
 #[test]
-fn a_rollout_waits_for_hosts_and_for_the_closed_layer() {
+fn rollout_waits_for_hosts_and_for_the_close_of_its_layer() {
     let (mut tree, _) = cut_in_progress();
     let mut leases = HostLeases::new(0, true);
     leases.renew("gw0", tree.version - 1, 0);
     let rollout = Rollout {
         version: tree.version,
-        closing: Some(HEAD),
+        closing_layer: Some(HEAD),
         answer: String::new(),
     };
     assert!(!rollout.is_complete(&tree, &leases, 0));
@@ -61,7 +61,7 @@
         layer: HEAD,
         node: 0,
     };
-    tree.apply(&closed).expect("fits");
+    tree.apply(&closed).expect("change fits the tree");
     assert!(rollout.is_complete(&tree, &leases, 0));
 }
 
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn cuts_are_known_by_branch_and_layer() {
+fn cuts_in_progress_are_found_by_branch_and_layer() {
     let (_, cut) = cut_in_progress();
     let mut operations = PendingOperations::default();
     let request = SnapshotRequest {
@@ -96,16 +96,16 @@
 }
 
 #[test]
-fn a_stale_cut_is_restarted_once_all_hosts_are_quiesced() {
+fn stale_cut_is_restarted_once_all_hosts_are_quiesced() {
     let (tree, cut) = cut_in_progress();
     let mut operations = PendingOperations::default();
     operations.add(1, Operation::Cut(cut));
     operations.mark_stale(&BTreeSet::from([HEAD]));
     operations.on_host_quiesced(HEAD, "gw0");
     operations.on_host_quiesced(HEAD, "gw1");
-    let pending = operations.take_all().pop().expect("the cut");
+    let pending = operations.take_all().pop().expect("the cut is pending");
     let Operation::Cut(cut) = pending.operation else {
-        panic!("another operation");
+        panic!("pending operation is not the cut");
     };
     assert_eq!(cut.progress(&tree, 1), CutProgress::Restart);
 }
--- a/crates/catalog-service/src/settings.rs
+++ b/crates/catalog-service/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the snapshot catalog takes from the configuration and uses while it runs.
+//! The settings from the configuration that the snapshot catalog uses while it runs.
 use mallowseam_cow::Millis;
 use mallowseam_cow::tree::Location;
 use mallowseam_settings::GatewayConfig;
@@ -14,18 +14,19 @@
     pub(crate) extent_count: u32,
 }
 
-/// The settings of a running catalog.
+/// The settings of a running catalog service.
 pub(crate) struct Settings {
-    /// Blocks of an extent.
+    /// Size of an extent in blocks.
     extent_blocks: u64,
     mapped_volumes: Vec<MappedVolume>,
     /// Names of all volumes of the configuration.
-    volumes: BTreeSet<String>,
-    longest_write: Millis,
+    volume_names: BTreeSet<String>,
+    /// Longest deadline of all I/O classes.
+    max_write_duration: Millis,
 }
 
 impl Settings {
-    /// The settings of a configuration with its section of the catalog.
+    /// Returns the settings of a configuration. `section`: its section `catalog`.
     pub(crate) fn new(config: &GatewayConfig, section: &Catalog) -> Self {
         let mapped = |volume: &Volume| MappedVolume {
             name: volume.name.clone(),
@@ -43,40 +44,40 @@
                 .filter(|volume| volume.mapped)
                 .map(mapped)
                 .collect(),
-            volumes: config
+            volume_names: config
                 .volumes
                 .iter()
                 .map(|volume| volume.name.clone())
                 .collect(),
-            longest_write: deadlines.max().unwrap_or(0),
+            max_write_duration: deadlines.max().unwrap_or(0),
         }
     }
 
-    /// Blocks of an extent.
+    /// Returns the size of an extent in blocks.
     pub(crate) fn extent_blocks(&self) -> u64 {
         self.extent_blocks
     }
 
-    /// First block and number of blocks of a location.
-    pub(crate) fn blocks_of(&self, location: Location) -> (u64, u32) {
+    /// Returns the first block and the number of blocks of a location.
+    pub(crate) fn block_range(&self, location: Location) -> (u64, u32) {
         (
             u64::from(location.slot) * self.extent_blocks,
             self.extent_blocks as u32,
         )
     }
 
-    /// The volumes whose extents the catalog maps.
+    /// Returns the volumes whose extents the catalog maps.
     pub(crate) fn mapped_volumes(&self) -> &[MappedVolume] {
         &self.mapped_volumes
     }
 
-    /// Whether the configuration has a volume of this name.
+    /// Returns whether the configuration has a volume of this name.
     pub(crate) fn has_volume(&self, name: &str) -> bool {
-        self.volumes.contains(name)
+        self.volume_names.contains(name)
     }
 
-    /// Longest time that a write of a host can take: the longest deadline of all I/O classes.
-    pub(crate) fn longest_write(&self) -> Millis {
-        self.longest_write
+    /// Returns the longest time that a write of a host can take, which is the longest deadline of all I/O classes.
+    pub(crate) fn max_write_duration(&self) -> Millis {
+        self.max_write_duration
     }
 }
--- a/crates/catalog-service/src/stored_tree.rs
+++ b/crates/catalog-service/src/stored_tree.rs
@@ -1,4 +1,4 @@
-//! The tree on disk, with what is to be reclaimed of it.
+//! The stored tree, with the extents and layers of it that are to be reclaimed.
 use crate::error::Error;
 use crate::subscription::Host;
 use mallowseam_cow::Millis;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// An extent that nothing refers to any more, with where it is.
+/// An extent that nothing refers to any more, with its location.
 pub(crate) struct UnreachableExtent {
     pub(crate) layer: LayerId,
     pub(crate) extent: u32,
@@ -27,7 +27,7 @@
     /// Opens the store at a path, or creates it.
     ///
     /// # Errors
-    /// The store cannot be opened or read, or its contents are damaged.
+    /// Returns [`Error::OpenStore`] if the store cannot be opened or read, or its contents are damaged.
     pub(crate) fn open(path: &Path) -> Result<Self, Error> {
         let catalog = Catalog::open(path).map_err(|source| Error::OpenStore {
             path: path.to_owned(),
@@ -39,42 +39,43 @@
         })
     }
 
-    /// The tree, with the changes that are not on disk yet.
+    /// Returns the tree, including changes that are not on disk yet.
     pub(crate) fn tree(&self) -> &Tree {
         self.catalog.tree()
     }
 
-    /// Whether the tree has never been changed.
+    /// Returns whether the tree has never been changed.
     pub(crate) fn is_new(&self) -> bool {
         self.tree().version == 0
     }
 
-    /// Makes a change, which counts once the batch is on disk. Its version.
+    /// Applies a change in memory; it is durable once the batch is committed. Returns the version of the tree after the
+    /// change.
     ///
     /// # Errors
-    /// The change does not fit the tree.
+    /// Returns an error if the change does not fit the tree.
     pub(crate) fn propose(&mut self, change: Change) -> Result<u64, ChangeError> {
         let effects = self.catalog.stage(change)?;
         self.reclaimer.record_change(self.catalog.tree(), &effects);
         Ok(self.catalog.tree().version)
     }
 
-    /// Whether there are changes that are not on disk yet.
+    /// Returns whether there are changes that are not on disk yet.
     pub(crate) fn has_uncommitted_changes(&self) -> bool {
         self.catalog.committed_version() < self.tree().version
     }
 
-    /// Puts all changes on disk, and returns them.
+    /// Commits all changes to disk, and returns them.
     ///
     /// # Errors
-    /// The store has failed, and is of no further use: the service ends, hosts go on by their leases, and a new
-    /// process reads what is on disk.
+    /// Returns an error if the store has failed. The store cannot be used any more and the service ends: hosts may act
+    /// until their leases expire, and a new process reads what is on disk.
     pub(crate) fn commit(&mut self) -> Result<CommittedBatch, Error> {
         self.catalog.commit().map_err(Error::Store)
     }
 
-    /// Sends a host what it lacks of the tree that is on disk: the changes since the version that it knows, if
-    /// they are retained, else the full tree.
+    /// Sends a host what it lacks of the tree on disk: the changes since the version of its replica if they are
+    /// retained, or else the full tree.
     pub(crate) fn send_missing(&self, replica_version: Option<TreeVersion>, host: &mut Host) {
         let catalog_id = self.catalog.id();
         let missing = replica_version
@@ -91,19 +92,19 @@
         host.send(&ToHost::CaughtUp);
     }
 
-    /// The extents that nodes are to unmap now. `retained`: layers of pending cuts. `longest_write`: the longest
-    /// time that a write of a host can take.
+    /// Returns the extents that nodes are to unmap now. `retained`: the layers of pending cuts. `max_write_duration`:
+    /// the longest time that a write of a host can take.
     pub(crate) fn next_unreachable(
         &mut self,
         retained: &BTreeSet<LayerId>,
         leases: &HostLeases,
-        longest_write: Millis,
+        max_write_duration: Millis,
         now: Millis,
     ) -> Vec<UnreachableExtent> {
         let tree = self.catalog.tree();
         let batch = self
             .reclaimer
-            .next_batch(tree, retained, leases, longest_write, now);
+            .next_batch(tree, retained, leases, max_write_duration, now);
         batch
             .into_iter()
             .filter_map(|(layer, extent)| {
@@ -117,23 +118,24 @@
             .collect()
     }
 
-    /// Where an extent of a layer is, if the layer has it.
+    /// Returns the location of an extent in a layer, if it has one there.
     pub(crate) fn location_of(&self, layer: LayerId, extent: u32) -> Option<Location> {
         location_of(self.tree(), layer, extent)
     }
 
-    /// A node has unmapped an extent, which leaves the tree.
+    /// Removes an extent that a node has unmapped from the tree.
     pub(crate) fn on_unmapped(&mut self, layer: LayerId, extent: u32) {
         self.reclaimer.release_completed((layer, extent));
         self.remove_extents(layer, vec![extent]);
     }
 
-    /// A node has not unmapped an extent: it is retried.
+    /// Records that a node has not unmapped an extent, so that it is retried.
     pub(crate) fn on_unmap_failed(&mut self, layer: LayerId, extent: u32, now: Millis) {
         self.reclaimer.release_failed((layer, extent), now);
     }
 
-    /// Removes layers without extents that nothing refers to.
+    /// Removes the layers that have no extents and that nothing refers to. `retained`: the layers of pending cuts,
+    /// which are not removed.
     pub(crate) fn remove_empty_layers(&mut self, retained: &BTreeSet<LayerId>) {
         let removable = self
             .reclaimer
@@ -143,9 +145,9 @@
         }
     }
 
-    /// Removes extents from a layer, and the layer if it is empty then.
+    /// Removes extents from a layer, and then the layer if it is empty and nothing refers to it.
     fn remove_extents(&mut self, layer: LayerId, extents: Vec<u32>) {
-        // Rejected if the tree has changed in the meantime: then there is nothing left to do.
+        // The change is rejected if the tree has changed in the meantime. Then nothing is left to do.
         let _ = self.propose(Change::ExtentsReclaimed { layer, extents });
     }
 }
