--- a/crates/snapshot-catalog/src/error.rs
+++ b/crates/snapshot-catalog/src/error.rs
@@ -1,42 +1,42 @@
-//! The errors of the catalog.
+//! The errors of the stored catalog.
 use mallowseam_cow::tree::{ChangeError, Inconsistency, LayerId};
 use mallowseam_durable_store::{Damage, StoreError};
 
-/// Why the catalog cannot be opened, read or written.
+/// Why the stored catalog cannot be opened, read or written.
 pub type Error = StoreError<CatalogDamage>;
 
-/// A damage of the contents of the catalog.
+/// How the contents of the stored catalog are damaged.
 #[derive(Debug, thiserror::Error)]
 pub enum CatalogDamage {
-    /// A row is not the JSON that belongs there.
+    /// A row is not the JSON of its record.
     #[error(transparent)]
     MalformedRow(#[from] serde_json::Error),
-    /// A counter is missing.
-    #[error("no count `{0}`")]
+    /// The counter of this name is missing.
+    #[error("counter `{0}` is missing")]
     MissingCounter(&'static str),
-    /// A counter is larger than it can be.
+    /// A counter of 32 bits has a larger value.
     #[error(transparent)]
     CounterOverflow(#[from] std::num::TryFromIntError),
-    /// There are locations of a layer that does not exist.
-    #[error("places of no layer {0}")]
+    /// The store has locations of a layer that does not exist.
+    #[error("locations of layer {0}, which does not exist")]
     LocationsWithoutLayer(LayerId),
-    /// The tree breaks its rules.
+    /// The stored tree is inconsistent.
     #[error("{}", join(.0))]
     Inconsistent(Vec<Inconsistency>),
     /// A change in the log of a file of format 1 does not fit the tree.
-    #[error("change {version}: {source}")]
+    #[error("logged change {version} does not fit the tree: {source}")]
     InvalidChange {
         /// Number of the change.
         version: u64,
-        /// Why it does not fit.
+        /// Why the change does not fit.
         source: ChangeError,
     },
     /// The log of a file of format 1 has a gap.
-    #[error("change {found} where {expected} is due")]
+    #[error("log contains change {found} where change {expected} is expected")]
     ChangeOutOfOrder {
-        /// Number of the change.
+        /// Number of the change that was found.
         found: u64,
-        /// Number of the next one.
+        /// Number of the change that was expected.
         expected: u64,
     },
 }
@@ -45,6 +45,7 @@
     const STORE_NAME: &'static str = "catalog store";
 }
 
+/// Joins the texts of inconsistencies to one text.
 fn join(inconsistencies: &[Inconsistency]) -> String {
     let texts: Vec<String> = inconsistencies.iter().map(ToString::to_string).collect();
     texts.join("; ")
--- a/crates/snapshot-catalog/src/lib.rs
+++ b/crates/snapshot-catalog/src/lib.rs
@@ -1,12 +1,12 @@
-//! The tree of snapshots and clones on disk: each layer, location, branch and snapshot has a row of its own, and each
-//! batch of changes writes those rows that it affects, in one transaction. A batch for which `commit` has returned is
-//! on disk after any crash, and an uncommitted one never is. Opening reads all rows once.
+//! The tree of snapshots and clones on disk. Each layer, location, branch and snapshot has a row of its own, and each
+//! batch of changes writes the rows that it affects, in one transaction. After any crash, a batch for which `commit`
+//! has returned is on disk, and a batch that was not committed is not. Opening the catalog reads all rows once.
 //!
 //! - `rows`: the tables, and which rows a batch has to write.
-//! - `load`: the tree from the tables.
+//! - `load`: reads the tree from the tables.
 //! - `staged_batch`: the changes of the next commit.
 //! - `recent_changes`: the last changes on disk.
-//! - `format_1`: conversion of files of the first format.
+//! - `format_1`: conversion of files of format 1.
 #![warn(missing_docs)]
 
 mod error;
@@ -28,21 +28,21 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::path::Path;
 
-/// The format of the store: one row for each record of the tree. Format 1 is converted.
+/// The format of the store, with one row for each record of the tree. Files of format 1 are converted.
 const FORMAT: Format = Format {
     key: "catalog",
     current: 2,
     oldest: format_1::FORMAT,
 };
 
-/// An open catalog.
+/// An open catalog: the stored tree, with changes that are not committed yet.
 #[derive(Debug)]
 pub struct Catalog {
     store: DurableStore,
     id: u64,
     /// The tree after all staged changes.
     tree: Tree,
-    /// The version of the tree that is on disk.
+    /// Version of the tree that is on disk.
     committed_version: u64,
     staged: StagedBatch,
     recent: RecentChanges,
@@ -53,25 +53,25 @@
 pub struct CommittedBatch {
     /// Version of the tree after the first change.
     pub first_version: u64,
-    /// The changes, in order.
+    /// Changes of the batch, in order.
     pub changes: Vec<Change>,
 }
 
 impl Catalog {
-    /// Opens a file, or creates it. A file of an older format is converted.
+    /// Opens the catalog in a file, or creates it. A file of an older format is converted.
     ///
     /// # Errors
     ///
-    /// The file cannot be opened or read, or its contents are damaged.
+    /// Returns an error if the file cannot be opened or read, or its contents are damaged.
     pub fn open(path: &Path) -> Result<Catalog, Error> {
         Catalog::read(DurableStore::open(path, FORMAT, prepare)?)
     }
 
-    /// The same on another storage than a file.
+    /// Opens or creates the catalog like [`Catalog::open`], in a storage that need not be a file.
     ///
     /// # Errors
     ///
-    /// As [`Catalog::open`].
+    /// Returns the errors of [`Catalog::open`].
     pub fn open_with_backend(backend: impl StorageBackend) -> Result<Catalog, Error> {
         Catalog::read(DurableStore::open_with_backend(backend, FORMAT, prepare)?)
     }
@@ -92,19 +92,19 @@
         })
     }
 
-    /// The random id of this catalog: the trees of two catalogs have nothing in common.
+    /// Returns the random id of this catalog. The trees of two catalogs have nothing in common.
     #[must_use]
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The tree after all staged changes, on disk or not.
+    /// Returns the tree after all staged changes, whether they are on disk or not.
     #[must_use]
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// The version of the tree that is on disk.
+    /// Returns the version of the tree that is on disk.
     #[must_use]
     pub fn committed_version(&self) -> u64 {
         self.committed_version
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     ///
-    /// The change does not fit the tree, which is unchanged then.
+    /// Returns an error if the change does not fit the tree, which is then unchanged.
     pub fn stage(&mut self, change: Change) -> Result<ChangeEffects, ChangeError> {
         let effects = self.tree.apply(&change)?;
         self.staged.add(change, &effects);
@@ -125,8 +125,8 @@
     ///
     /// # Errors
     ///
-    /// Those of the database. After one the catalog commits nothing more: whether the changes are on disk is known
-    /// only after reopening it.
+    /// Returns the errors of the database. After an error the catalog commits nothing more: only reopening it shows
+    /// whether the changes are on disk.
     pub fn commit(&mut self) -> Result<CommittedBatch, Error> {
         self.store.check_not_poisoned()?;
         let first_version = self.committed_version + 1;
@@ -149,8 +149,8 @@
         })
     }
 
-    /// The changes after a version up to what is on disk, each with the version that it leads to. None: they are no
-    /// longer retained, or the version is not one of this catalog.
+    /// Returns the committed changes after a version, each with the version that it leads to. None: they are no longer
+    /// retained, or the version is higher than that on disk.
     #[must_use]
     pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = (u64, &Change)>> {
         let missing = self.committed_version.checked_sub(version)?;
@@ -158,7 +158,7 @@
     }
 }
 
-/// Writes the tree of a new file, or that of an older format.
+/// Writes the tree of a new file, or the converted tree of a file of an older format.
 fn prepare(transaction: &WriteTransaction, stored: StoredFormat) -> Result<(), Error> {
     let tree = match stored {
         StoredFormat::Current => return Ok(()),
@@ -169,9 +169,9 @@
     rows::write_id(transaction, random_id())
 }
 
-/// A random id other than [`NO_CATALOG`]. It is not derived from the clock or the path, so that two catalogs that are
-/// created at the same time differ.
+/// Returns a random id other than [`NO_CATALOG`]. The id is not derived from the clock or the path, so that two
+/// catalogs that are created at the same time have different ids.
 fn random_id() -> u64 {
-    let drawn = RandomState::new().build_hasher().finish();
-    drawn.max(NO_CATALOG + 1)
+    let random = RandomState::new().build_hasher().finish();
+    random.max(NO_CATALOG + 1)
 }
--- a/crates/snapshot-catalog/src/load.rs
+++ b/crates/snapshot-catalog/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading the tree from the tables.
+//! Reads the tree from the tables.
 use crate::rows::{
     BRANCHES, COUNTERS, ID, LAYERS, LAYERS_CREATED, LOCATIONS, LUNS_ASSIGNED, LayerRow, SNAPSHOTS,
     VERSION,
@@ -10,14 +10,14 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
-/// The id of the catalog, and its tree.
+/// Returns the id of the catalog, and its tree.
 pub(crate) fn load(store: &DurableStore) -> Result<(u64, Tree), Error> {
     let transaction = store.begin_read()?;
     let counters = Counters(transaction.open_table(COUNTERS)?);
     let data = TreeData {
         version: counters.get(VERSION)?,
-        layers_created: counters.get_small(LAYERS_CREATED)?,
-        luns_assigned: counters.get_small(LUNS_ASSIGNED)?,
+        layers_created: counters.get_u32(LAYERS_CREATED)?,
+        luns_assigned: counters.get_u32(LUNS_ASSIGNED)?,
         layers: load_layers(&transaction)?,
         branches: load_named(&transaction.open_table(BRANCHES)?)?,
         snapshots: load_named(&transaction.open_table(SNAPSHOTS)?)?,
@@ -34,8 +34,8 @@
         Ok(row.ok_or(CatalogDamage::MissingCounter(name))?.value())
     }
 
-    /// A counter whose values have 32 bits.
-    fn get_small(&self, name: &'static str) -> Result<u32, Error> {
+    /// Returns a counter whose value has at most 32 bits.
+    fn get_u32(&self, name: &'static str) -> Result<u32, Error> {
         Ok(u32::try_from(self.get(name)?).map_err(CatalogDamage::from)?)
     }
 }
@@ -57,8 +57,8 @@
     entries: Vec<ExtentLocation>,
 }
 
-/// Adds the locations to the layers. Rows are in order of layers and extents: collecting those of one layer first
-/// builds its maps in bulk.
+/// Adds all locations to their layers. Rows are in order of layers and extents, so all locations of one layer are
+/// collected first, and its maps are then built in bulk.
 fn load_locations(
     transaction: &ReadTransaction,
     layers: &mut BTreeMap<LayerId, Layer>,
@@ -107,6 +107,7 @@
     Ok(())
 }
 
+/// Returns the records of a table whose keys are names.
 fn load_named<T: DeserializeOwned>(
     table: &impl ReadableTable<&'static str, &'static [u8]>,
 ) -> Result<BTreeMap<String, T>, Error> {
--- a/crates/snapshot-catalog/src/recent_changes.rs
+++ b/crates/snapshot-catalog/src/recent_changes.rs
@@ -2,7 +2,7 @@
 use mallowseam_cow::tree::Change;
 use std::collections::VecDeque;
 
-/// Changes that are retained: some seconds of first writes.
+/// Maximum number of changes that are retained, which are those of some seconds of first writes.
 const MAX_RECENT_CHANGES: usize = 4_096;
 
 /// The last changes that were committed, oldest first.
@@ -12,20 +12,20 @@
 }
 
 impl RecentChanges {
-    /// Adds changes that were committed, and drops the oldest ones.
+    /// Adds changes that were committed, and drops the oldest ones beyond [`MAX_RECENT_CHANGES`].
     pub(crate) fn extend(&mut self, committed: &[Change]) {
         self.changes.extend(committed.iter().cloned());
         let excess = self.changes.len().saturating_sub(MAX_RECENT_CHANGES);
         self.changes.drain(..excess);
     }
 
-    /// The last `count` changes. None: not as many are retained.
+    /// Returns the last `count` changes, or `None` if fewer are retained.
     pub(crate) fn last(&self, count: u64) -> Option<impl Iterator<Item = &Change>> {
-        let from = self
+        let start = self
             .changes
             .len()
             .checked_sub(usize::try_from(count).ok()?)?;
-        Some(self.changes.range(from..))
+        Some(self.changes.range(start..))
     }
 }
 
--- a/crates/snapshot-catalog/src/rows.rs
+++ b/crates/snapshot-catalog/src/rows.rs
@@ -1,36 +1,36 @@
-//! The tables of the catalog, and which of their rows a batch of changes has to write. Names of tables and keys are
-//! stored data.
+//! The tables of the catalog, and which of their rows a batch of changes has to write. The names of tables and keys are
+//! stored data and must not change.
 use crate::Error;
 use mallowseam_cow::tree::{ChangeEffects, Layer, LayerExtent, LayerId, Tree};
 use redb::{Table, TableDefinition, WriteTransaction};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Counters by name; see below.
+/// Table of counters by name: [`ID`], [`VERSION`], [`LAYERS_CREATED`] and [`LUNS_ASSIGNED`].
 pub(crate) const COUNTERS: TableDefinition<&str, u64> = TableDefinition::new("counts");
-/// The catalog's own id.
+/// Name of the counter that holds the id of the catalog.
 pub(crate) const ID: &str = "catalog";
-/// Version of the tree.
+/// Name of the counter that holds the version of the tree.
 pub(crate) const VERSION: &str = "version";
-/// Layers created so far.
+/// Name of the counter of layers created so far.
 pub(crate) const LAYERS_CREATED: &str = "made";
-/// LUNs assigned so far.
+/// Name of the counter of LUNs assigned so far.
 pub(crate) const LUNS_ASSIGNED: &str = "units";
 
-/// Layers without their locations, as JSON of a [`LayerRow`].
+/// Table of layers without their locations, as JSON of a [`LayerRow`], by id.
 pub(crate) const LAYERS: TableDefinition<LayerId, &[u8]> = TableDefinition::new("layers");
-/// Node, slot, and whether it may be written, by layer and extent.
+/// Table of locations by layer and extent: the node, the slot, and whether the location may be written.
 pub(crate) const LOCATIONS: TableDefinition<LayerExtent, (u32, u32, bool)> =
     TableDefinition::new("places");
-/// Branches by name, as JSON.
+/// Table of branches as JSON, by name.
 pub(crate) const BRANCHES: TableDefinition<&str, &[u8]> = TableDefinition::new("branches");
-/// Snapshots by `branch@name`, as JSON.
+/// Table of snapshots as JSON, by full name (`branch@name`).
 pub(crate) const SNAPSHOTS: TableDefinition<&str, &[u8]> = TableDefinition::new("snapshots");
 
 /// The fields of a [`LayerRow`] as they are stored: a JSON array.
 type LayerFields = (Option<LayerId>, bool, u32, BTreeSet<u32>);
 
-/// The stored part of a layer, but for its locations.
+/// A layer as it is stored, without its locations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "LayerFields", into = "LayerFields")]
 pub(crate) struct LayerRow {
@@ -58,7 +58,7 @@
 }
 
 impl LayerRow {
-    fn of(layer: &Layer) -> LayerRow {
+    fn from_layer(layer: &Layer) -> LayerRow {
         LayerRow {
             parent: layer.parent,
             frozen: layer.frozen,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The layer, without its locations.
+    /// Returns the layer, without its locations.
     pub(crate) fn into_layer(self) -> Layer {
         Layer {
             parent: self.parent,
@@ -79,8 +79,8 @@
     }
 }
 
-/// Rows that a batch of changes affects. When the batch is written, each of them is written as the tree has it at that
-/// time, or deleted if the tree no longer has it.
+/// The rows that a batch of changes affects. When the batch is written, each of these rows is written as it follows
+/// from the tree at that time, or deleted if the tree no longer has its record.
 #[derive(Debug, Default)]
 pub(crate) struct DirtyRows {
     layers: BTreeSet<LayerId>,
@@ -98,7 +98,7 @@
         self.snapshots.extend(effects.snapshots.iter().cloned());
     }
 
-    /// All rows of a tree.
+    /// Returns all rows of a tree.
     pub(crate) fn all(tree: &Tree) -> DirtyRows {
         let mut locations = BTreeSet::new();
         for (id, layer) in &tree.layers {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Writes the rows as the tree has them now, and the counters.
+    /// Writes the rows as they follow from the tree now, and the counters.
     pub(crate) fn write(&self, transaction: &WriteTransaction, tree: &Tree) -> Result<(), Error> {
         write_counters(transaction, tree)?;
         self.write_layers(transaction, tree)?;
@@ -166,11 +166,12 @@
     Ok(())
 }
 
-/// A [`LayerRow`] as JSON.
+/// Returns the [`LayerRow`] of a layer as JSON.
 fn layer_row(layer: &Layer) -> Result<Vec<u8>, Error> {
-    serde_json::to_vec(&LayerRow::of(layer)).map_err(Error::Encode)
+    serde_json::to_vec(&LayerRow::from_layer(layer)).map_err(Error::Encode)
 }
 
+/// Returns the row of an extent in the table of locations, if the extent has a location in the layer.
 fn location_row(tree: &Tree, (layer, extent): LayerExtent) -> Option<(u32, u32, bool)> {
     let layer = tree.layers.get(&layer)?;
     let location = layer.locations.get(&extent)?;
@@ -181,6 +182,7 @@
     ))
 }
 
+/// Writes the records of the given names to a table whose keys are names, or deletes their rows if there is no record.
 fn write_named<T: Serialize>(
     mut table: Table<'_, &str, &[u8]>,
     names: &BTreeSet<String>,
--- a/crates/snapshot-catalog/src/staged_batch.rs
+++ b/crates/snapshot-catalog/src/staged_batch.rs
@@ -1,4 +1,4 @@
-//! Changes that are applied to the tree in memory and not on disk yet.
+//! The changes that are applied to the tree in memory and not on disk yet.
 use crate::Error;
 use crate::rows::DirtyRows;
 use mallowseam_cow::tree::{Change, ChangeEffects, Tree};
@@ -12,23 +12,23 @@
 }
 
 impl StagedBatch {
-    /// Adds a change that has had these effects on the tree.
+    /// Adds a change, with the effects that it had on the tree.
     pub(crate) fn add(&mut self, change: Change, effects: &ChangeEffects) {
         self.dirty.add(effects);
         self.changes.push(change);
     }
 
-    /// Whether there is nothing to write.
+    /// Returns whether there are no changes to write.
     pub(crate) fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Writes the rows as the tree has them now.
+    /// Writes the affected rows as they follow from the tree now.
     pub(crate) fn write(&self, transaction: &WriteTransaction, tree: &Tree) -> Result<(), Error> {
         self.dirty.write(transaction, tree)
     }
 
-    /// The changes, in order.
+    /// Returns the changes, in order.
     pub(crate) fn into_changes(self) -> Vec<Change> {
         self.changes
     }
--- a/crates/snapshot-catalog/tests/crash_recovery.rs
+++ b/crates/snapshot-catalog/tests/crash_recovery.rs
@@ -1,25 +1,28 @@
-//! Power lost at every write of the catalog: what was acknowledged is there, and nothing else.
+//! Guards against lost or half-written changes after a power loss. The calls of the catalog on its storage are
+//! recorded, and the contents of a disk that loses power at any of them are reopened: the catalog must hold the last
+//! acknowledged tree, or the tree that was being committed.
 use mallowseam_cow::tree::{Change, Location, Tree};
 use mallowseam_durable_store::testing::{Call, RecordingBackend, apply_call};
 use mallowseam_snapshot_catalog::Catalog;
 
-/// Bytes that a disk writes at once.
-const SECTOR: usize = 512;
+/// Number of bytes that a disk writes atomically.
+const SECTOR_BYTES: usize = 512;
 
-/// The tree that was acknowledged once so many calls had been made on the storage.
+/// A tree that was acknowledged, and the number of calls that had been made on the storage by then.
 struct Acknowledged {
-    calls: usize,
+    call_count: usize,
     tree: Tree,
 }
 
+/// Opens a catalog on these contents of a storage and returns its tree.
 fn reopen(contents: Vec<u8>) -> Result<Tree, String> {
     let backend = RecordingBackend::with_contents(contents);
     let catalog = Catalog::open_with_backend(backend).map_err(|e| e.to_string())?;
     Ok(catalog.tree().clone())
 }
 
-/// Batches of changes as they come up in use: volumes, first writes, snapshots, a clone, a deletion, and two changes
-/// that name the same layers.
+/// Returns batches of changes as they occur in use: volumes, first writes, snapshots, a clone, a deletion, and two
+/// changes of the same layers.
 fn batches() -> Vec<Vec<Change>> {
     let created = |branch: &str| Change::BranchCreated {
         branch: branch.into(),
@@ -79,71 +82,79 @@
 
 fn commit(catalog: &mut Catalog, changes: Vec<Change>) {
     for change in changes {
-        catalog.stage(change).expect("fits");
+        catalog.stage(change).expect("change fits the tree");
     }
-    catalog.commit().expect("written");
+    catalog.commit().expect("changes are committed");
 }
 
-/// Commits all batches. Returns the storage, and what was acknowledged when.
-fn recorded() -> (RecordingBackend, Vec<Acknowledged>) {
+/// Commits all batches. Returns the storage, and the trees that were acknowledged, in order.
+fn commit_all_batches() -> (RecordingBackend, Vec<Acknowledged>) {
     let backend = RecordingBackend::default();
-    let mut catalog = Catalog::open_with_backend(backend.clone()).expect("a new catalog");
+    let mut catalog = Catalog::open_with_backend(backend.clone()).expect("catalog is created");
     let mut acknowledged = vec![Acknowledged {
-        calls: backend.calls().len(),
+        call_count: backend.calls().len(),
         tree: Tree::default(),
     }];
     for changes in batches() {
         commit(&mut catalog, changes);
         acknowledged.push(Acknowledged {
-            calls: backend.calls().len(),
+            call_count: backend.calls().len(),
             tree: catalog.tree().clone(),
         });
     }
     (backend, acknowledged)
 }
 
-/// The trees that may be there after a crash when so many calls had been made: the last one acknowledged, or the one
-/// that was being committed.
-fn allowed(acknowledged: &[Acknowledged], calls: usize) -> Vec<&Tree> {
-    let done = acknowledged
+/// Returns the trees that may be stored after a crash that follows `call_count` calls: the last acknowledged tree, or
+/// the tree that was being committed.
+fn allowed_trees(acknowledged: &[Acknowledged], call_count: usize) -> Vec<&Tree> {
+    let last = acknowledged
         .iter()
-        .rposition(|a| a.calls <= calls)
+        .rposition(|entry| entry.call_count <= call_count)
         .unwrap_or(0);
-    acknowledged[done..(done + 2).min(acknowledged.len())]
+    acknowledged[last..(last + 2).min(acknowledged.len())]
         .iter()
-        .map(|a| &a.tree)
+        .map(|entry| &entry.tree)
         .collect()
 }
 
-fn check(acknowledged: &[Acknowledged], calls: usize, contents: Vec<u8>, how: &str) {
-    let opened = acknowledged[0].calls;
+/// Checks that the contents of a storage after a crash reopen to an allowed tree. `crash`: description of the crash.
+fn check(acknowledged: &[Acknowledged], call_count: usize, contents: Vec<u8>, crash: &str) {
+    let created_at = acknowledged[0].call_count;
     match reopen(contents) {
         Ok(tree) => {
-            let fits = allowed(acknowledged, calls).contains(&&tree);
-            assert!(fits, "{how}: version {} after {calls} calls", tree.version);
+            let is_allowed = allowed_trees(acknowledged, call_count).contains(&&tree);
+            assert!(
+                is_allowed,
+                "{crash}: reopened to version {} after {call_count} calls",
+                tree.version
+            );
         }
-        // Before the new catalog was first complete, there is nothing to lose.
-        Err(e) => assert!(calls < opened, "{how}, {calls} calls: {e}"),
+        // Until the new catalog is created completely, no change can be lost.
+        Err(e) => assert!(
+            call_count < created_at,
+            "{crash}: not reopened after {call_count} calls: {e}"
+        ),
     }
 }
 
 #[test]
-fn torn_write_reopens_to_what_was_acknowledged() {
-    let (backend, acknowledged) = recorded();
+fn catalog_with_a_torn_write_reopens_to_an_acknowledged_tree() {
+    let (backend, acknowledged) = commit_all_batches();
     let calls = backend.calls();
     let mut contents = Vec::new();
-    let mut torn = 0;
+    let mut torn_count = 0;
     for (index, call) in calls.iter().enumerate() {
         if let Call::Write { offset, data } = call {
-            // Torn at each sector, and at odd offsets within the first.
+            // The write is torn at each sector, and at some offsets within the first sector.
             let lengths = (0..data.len())
-                .step_by(SECTOR)
+                .step_by(SECTOR_BYTES)
                 .chain([1, 7, 63, 200])
-                .filter(|c| *c < data.len());
+                .filter(|length| *length < data.len());
             for length in lengths {
-                let mut half = contents.clone();
+                let mut torn_contents = contents.clone();
                 apply_call(
-                    &mut half,
+                    &mut torn_contents,
                     &Call::Write {
                         offset: *offset,
                         data: data[..length].to_vec(),
@@ -152,10 +163,10 @@
                 check(
                     &acknowledged,
                     index,
-                    half,
-                    &format!("write {index} torn at {length}"),
+                    torn_contents,
+                    &format!("write {index} torn after {length} bytes"),
                 );
-                torn += 1;
+                torn_count += 1;
             }
         }
         apply_call(&mut contents, call);
@@ -163,19 +174,19 @@
             &acknowledged,
             index + 1,
             contents.clone(),
-            "cut between calls",
+            "power lost between calls",
         );
     }
     assert!(
-        calls.len() > 100 && torn > 300,
-        "{} calls, {torn} torn",
+        calls.len() > 100 && torn_count > 300,
+        "too few cases: {} calls, {torn_count} torn writes",
         calls.len()
     );
 }
 
 #[test]
-fn lost_unsynced_writes_reopen_to_what_was_acknowledged() {
-    let (backend, acknowledged) = recorded();
+fn catalog_without_some_unsynced_writes_reopens_to_an_acknowledged_tree() {
+    let (backend, acknowledged) = commit_all_batches();
     let mut synced = Vec::new();
     let mut unsynced: Vec<Call> = Vec::new();
     for (index, call) in backend.calls().iter().enumerate() {
@@ -183,112 +194,134 @@
             unsynced.push(call.clone());
             continue;
         }
-        // A disk may have taken any one of the unsynced writes, or all but one, when power was lost.
-        for one in 0..unsynced.len() {
-            for only_one in [true, false] {
+        // When power is lost, a disk may have stored any one of the unsynced writes, or all but one.
+        for chosen in 0..unsynced.len() {
+            for only_chosen in [true, false] {
                 let mut contents = synced.clone();
-                let taken = unsynced.iter().enumerate();
-                let taken =
-                    taken.filter(|(i, c)| (*i == one) == only_one || matches!(c, Call::Resize(_)));
-                taken.for_each(|(_, c)| apply_call(&mut contents, c));
+                let stored = unsynced.iter().enumerate();
+                let stored = stored.filter(|(index, call)| {
+                    (*index == chosen) == only_chosen || matches!(call, Call::Resize(_))
+                });
+                stored.for_each(|(_, call)| apply_call(&mut contents, call));
                 check(
                     &acknowledged,
                     index,
                     contents,
-                    &format!("unsynced {one}, only one {only_one}"),
+                    &format!("unsynced write {chosen}, only that one stored: {only_chosen}"),
                 );
             }
         }
-        unsynced.drain(..).for_each(|c| apply_call(&mut synced, &c));
+        unsynced
+            .drain(..)
+            .for_each(|call| apply_call(&mut synced, &call));
     }
 }
 
 #[test]
-fn file_reopens_as_committed_and_recent_changes_are_known_until_then() {
-    let dir = tempfile::tempdir().expect("a directory");
+fn file_reopens_as_committed_and_recent_changes_are_retained_until_then() {
+    let dir = tempfile::tempdir().expect("directory is created");
     let path = dir.path().join("catalog");
-    let mut catalog = Catalog::open(&path).expect("new");
+    let mut catalog = Catalog::open(&path).expect("catalog is created");
     for changes in batches() {
         commit(&mut catalog, changes);
     }
     let (tree, id) = (catalog.tree().clone(), catalog.id());
     let mut replayed = Tree::default();
-    for (version, change) in catalog.changes_since(0).expect("few changes") {
-        replayed.apply(change).expect("fits");
+    for (version, change) in catalog.changes_since(0).expect("changes are retained") {
+        replayed.apply(change).expect("change fits the tree");
         assert_eq!(replayed.version, version);
     }
     assert_eq!(replayed, tree);
     drop(catalog);
-    let catalog = Catalog::open(&path).expect("there");
+    let catalog = Catalog::open(&path).expect("catalog is reopened");
     assert_eq!((catalog.tree(), catalog.id()), (&tree, id));
     assert_eq!(
         catalog
             .changes_since(tree.version)
-            .expect("nothing is missing")
+            .expect("no change is missing")
             .count(),
         0
     );
     assert!(
         catalog.changes_since(tree.version - 1).is_none(),
-        "not known any more"
+        "the change was not retained"
     );
     assert!(
         catalog.changes_since(tree.version + 1).is_none(),
-        "not a version of this catalog"
+        "the version is not one of this catalog"
     );
-    let other = Catalog::open_with_backend(RecordingBackend::default()).expect("new");
+    let other =
+        Catalog::open_with_backend(RecordingBackend::default()).expect("catalog is created");
     assert_ne!(id, other.id());
 }
 
 #[test]
 fn rejected_change_leaves_the_catalog_unchanged() {
     let backend = RecordingBackend::default();
-    let mut catalog = Catalog::open_with_backend(backend.clone()).expect("new");
+    let mut catalog = Catalog::open_with_backend(backend.clone()).expect("catalog is created");
     let created = Change::BranchCreated {
         branch: "a".into(),
         extent_count: 8,
     };
-    catalog.stage(created.clone()).expect("fits");
+    catalog
+        .stage(created.clone())
+        .expect("change fits the tree");
     assert!(catalog.stage(created).is_err());
     assert_eq!(
         (catalog.tree().version, catalog.committed_version()),
         (1, 0)
     );
-    assert_eq!(reopen(backend.contents()).expect("valid").version, 0);
-    catalog.commit().expect("written");
-    assert_eq!(reopen(backend.contents()).expect("valid"), *catalog.tree());
+    assert_eq!(
+        reopen(backend.contents())
+            .expect("catalog is reopened")
+            .version,
+        0
+    );
+    catalog.commit().expect("changes are committed");
+    assert_eq!(
+        reopen(backend.contents()).expect("catalog is reopened"),
+        *catalog.tree()
+    );
 }
 
 #[test]
-fn format_1_is_converted_from_its_tree_and_log() {
+fn file_of_format_1_is_converted_from_its_tree_and_log() {
     let backend = RecordingBackend::default();
     let mut tree = Tree::default();
     {
         let db = redb::Builder::new()
             .create_with_backend(backend.clone())
-            .expect("new");
-        let write = db.begin_write().expect("open");
+            .expect("database is created");
+        let write = db.begin_write().expect("transaction begins");
         {
             let table = |name| redb::TableDefinition::<u64, &[u8]>::new(name);
             let formats = redb::TableDefinition::<&str, u64>::new("format");
             write
                 .open_table(formats)
-                .expect("new")
+                .expect("table is created")
                 .insert("catalog", 1)
-                .expect("fits");
-            let mut log = write.open_table(table("changes")).expect("new");
-            let mut base = write.open_table(table("tree")).expect("new");
+                .expect("row is inserted");
+            let mut log = write
+                .open_table(table("changes"))
+                .expect("table is created");
+            let mut full_trees = write.open_table(table("tree")).expect("table is created");
             for (i, change) in batches().into_iter().flatten().enumerate() {
-                tree.apply(&change).expect("fits");
-                let bytes = serde_json::to_vec(&change).expect("plain data");
-                log.insert(tree.version, bytes.as_slice()).expect("fits");
+                tree.apply(&change).expect("change fits the tree");
+                let bytes = serde_json::to_vec(&change).expect("change is JSON");
+                log.insert(tree.version, bytes.as_slice())
+                    .expect("row is inserted");
                 if i == 7 {
-                    let bytes = serde_json::to_vec(&tree).expect("plain data");
-                    base.insert(tree.version, bytes.as_slice()).expect("fits");
+                    let bytes = serde_json::to_vec(&tree).expect("tree is JSON");
+                    full_trees
+                        .insert(tree.version, bytes.as_slice())
+                        .expect("row is inserted");
                 }
             }
         }
-        write.commit().expect("written");
+        write.commit().expect("rows are committed");
     }
-    assert_eq!(reopen(backend.contents()).expect("converted"), tree);
+    assert_eq!(
+        reopen(backend.contents()).expect("catalog is converted"),
+        tree
+    );
 }
