--- a/crates/durable-store/src/error.rs
+++ b/crates/durable-store/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of a store.
+//! The errors of a durable store.
 use std::error::Error;
 use std::fmt;
 
@@ -11,10 +11,10 @@
     /// A transaction cannot begin.
     #[error(transparent)]
     Transaction(#[from] redb::TransactionError),
-    /// A table is missing or has other types.
+    /// A table is missing, or its keys or values have other types.
     #[error(transparent)]
     Table(#[from] redb::TableError),
-    /// Reading or writing has failed.
+    /// The storage has failed to read or write.
     #[error(transparent)]
     Storage(#[from] redb::StorageError),
     /// A commit has failed.
@@ -22,29 +22,29 @@
     Commit(#[from] redb::CommitError),
 }
 
-/// The damages that the contents of one kind of store can have: implemented by its error enum.
+/// An error that describes how the contents of one kind of store are damaged.
 pub trait Damage: Error + 'static {
     /// Name of the store in error texts.
     const STORE_NAME: &'static str;
 }
 
-/// An error of a store; `D` are the damages that its contents can have.
+/// An error of a store. `D` describes how its contents can be damaged.
 #[derive(Debug)]
 pub enum StoreError<D> {
     /// The database has failed or cannot be read.
     Database(DatabaseError),
-    /// A record cannot be encoded.
+    /// A record cannot be encoded as JSON.
     Encode(serde_json::Error),
-    /// An earlier transaction has failed, so that it is not known what is on disk. The store has to be reopened.
+    /// An earlier guarded transaction has failed, so it is not known what is on disk. The store has to be reopened.
     Poisoned,
     /// The store has a format that this program cannot read.
     UnknownFormat {
-        /// The format of the store.
+        /// Number of the format of the store.
         found: u64,
-        /// The format that is written.
+        /// Number of the format that this program writes.
         expected: u64,
     },
-    /// The contents are damaged.
+    /// The contents of the store are damaged.
     Damaged(D),
 }
 
@@ -53,8 +53,8 @@
         let store = D::STORE_NAME;
         match self {
             StoreError::Database(error) => write!(f, "{store}: {error}"),
-            StoreError::Encode(error) => write!(f, "{store}: {error}"),
-            StoreError::Poisoned => write!(f, "{store}: an earlier write has failed; open it anew"),
+            StoreError::Encode(error) => write!(f, "{store}: record cannot be encoded: {error}"),
+            StoreError::Poisoned => write!(f, "{store}: an earlier write failed; reopen the store"),
             StoreError::UnknownFormat { found, expected } => {
                 write!(f, "{store} is damaged: format {found}, expected {expected}")
             }
@@ -86,7 +86,7 @@
     }
 }
 
-/// `?` on the errors of `redb`, which has one type for each kind of call.
+/// Converts the errors of `redb`, which has one type for each kind of call, so that `?` can be used on all of them.
 macro_rules! from_redb {
     ($($error:ty),*) => {$(
         impl<D> From<$error> for StoreError<D> {
--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -1,8 +1,9 @@
-//! What the crash-safe stores on `redb` have in common: opening a file, the row with its format, transactions, and
+//! The common part of all crash-safe stores on `redb`: opening a file, the row that holds its format, transactions, and
 //! errors.
 //!
-//! A transaction that was committed is on disk after any crash. After a commit that failed, it is not known what is on
-//! disk: the store is then *poisoned*, and takes no more guarded transactions until it is reopened.
+//! A transaction that was committed is on disk after any crash. After a commit has failed, it is not known what is on
+//! disk. A guarded transaction ([`DurableStore::write_or_poison`]) that fails therefore *poisons* the store, which then
+//! accepts no more guarded transactions until it is reopened.
 #![warn(missing_docs)]
 
 mod error;
@@ -17,22 +18,23 @@
 };
 use std::path::Path;
 
-/// Formats of the stores in a file, by their name.
+/// Table of the formats of the stores in a file, by the name of the store.
 const FORMATS: TableDefinition<&str, u64> = TableDefinition::new("format");
 
 /// The formats of a store that a program can open.
 #[derive(Clone, Copy, Debug)]
 pub struct Format {
-    /// Name of the row that holds the format.
+    /// Key of the row that holds the format.
     pub key: &'static str,
-    /// The format that is written.
+    /// Number of the format that the program writes.
     pub current: u64,
-    /// The oldest format that can be converted to the current one.
+    /// Number of the oldest format that can be converted to the current one.
     pub oldest: u64,
 }
 
 impl Format {
-    /// What the number in a file's row says; there is no row in a file without such a store.
+    /// Returns the meaning of the format number that was found in a file. `None` was found in a file without such a
+    /// store.
     fn recognize<D>(&self, found: Option<u64>) -> Result<StoredFormat, StoreError<D>> {
         match found {
             None => Ok(StoredFormat::Missing),
@@ -53,27 +55,28 @@
 pub enum StoredFormat {
     /// The file contains no such store yet.
     Missing,
-    /// The current format.
+    /// The store has the current format.
     Current,
-    /// An older one, which has to be converted.
+    /// The store has the older format of this number, which has to be converted.
     Older(u64),
 }
 
-/// An open store.
+/// An open durable store.
 #[derive(Debug)]
 pub struct DurableStore {
     database: Database,
-    /// A guarded transaction has failed. It may be on disk, while the caller's copy in memory does not include it.
+    /// Whether a guarded transaction has failed. It may be on disk, while the caller's copy in memory does not include
+    /// it.
     is_poisoned: bool,
 }
 
 impl DurableStore {
-    /// Opens a file, or creates it. `prepare` creates the tables, or converts those of an older format, in the same
-    /// transaction that writes the format: a store is either empty or complete.
+    /// Opens a store in a file, or creates it. `prepare` creates the tables, or converts those of an older format, in
+    /// the same transaction that writes the format, so that a store is either empty or complete.
     ///
     /// # Errors
     ///
-    /// Those of the database and of `prepare`; [`StoreError::UnknownFormat`].
+    /// Returns the errors of the database and of `prepare`, or [`StoreError::UnknownFormat`].
     pub fn open<D: Damage>(
         path: &Path,
         format: Format,
@@ -82,11 +85,11 @@
         DurableStore::prepare(Builder::new().create(path)?, format, prepare)
     }
 
-    /// The same on another storage than a file.
+    /// Opens or creates a store like [`DurableStore::open`], in a storage that need not be a file.
     ///
     /// # Errors
     ///
-    /// As [`DurableStore::open`].
+    /// Returns the errors of [`DurableStore::open`].
     pub fn open_with_backend<D: Damage>(
         backend: impl StorageBackend,
         format: Format,
@@ -121,11 +124,11 @@
         })
     }
 
-    /// Begins to read what is on disk.
+    /// Begins a transaction that reads what is on disk.
     ///
     /// # Errors
     ///
-    /// Those of the database.
+    /// Returns the errors of the database.
     pub fn begin_read(&self) -> Result<ReadTransaction, DatabaseError> {
         Ok(self.database.begin_read()?)
     }
@@ -134,7 +137,8 @@
     ///
     /// # Errors
     ///
-    /// Those of the database and of `write`. Nothing was written then, unless the commit itself failed.
+    /// Returns the errors of the database and of `write`. After an error nothing was written, unless the commit itself
+    /// has failed.
     pub fn write<D: Damage>(
         &self,
         write: impl FnOnce(&WriteTransaction) -> Result<(), StoreError<D>>,
@@ -145,28 +149,29 @@
         Ok(())
     }
 
-    /// As [`DurableStore::write`] for data of which a copy is kept in memory. Any error poisons the store.
+    /// Runs `write` in a guarded transaction and commits it, for data of which the caller keeps a copy in memory. Any
+    /// error poisons the store.
     ///
     /// # Errors
     ///
-    /// As [`DurableStore::write`]; [`StoreError::Poisoned`] after an earlier error.
+    /// Returns the errors of [`DurableStore::write`], or [`StoreError::Poisoned`] after an earlier error.
     pub fn write_or_poison<D: Damage>(
         &mut self,
         write: impl FnOnce(&WriteTransaction) -> Result<(), StoreError<D>>,
     ) -> Result<(), StoreError<D>> {
         self.check_not_poisoned()?;
-        // Reset only after the commit, so that each way out by an error leaves the store poisoned.
+        // Reset only after the commit, so that a return with any error leaves the store poisoned.
         self.is_poisoned = true;
         self.write(write)?;
         self.is_poisoned = false;
         Ok(())
     }
 
-    /// Whether the store still takes guarded transactions.
+    /// Checks that the store still accepts guarded transactions.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Poisoned`] after a guarded transaction that failed.
+    /// Returns [`StoreError::Poisoned`] after a guarded transaction that failed.
     pub fn check_not_poisoned<D: Damage>(&self) -> Result<(), StoreError<D>> {
         if self.is_poisoned {
             Err(StoreError::Poisoned)
--- a/crates/durable-store/src/testing.rs
+++ b/crates/durable-store/src/testing.rs
@@ -1,26 +1,26 @@
-//! A storage backend in memory that records every call made on it, so that a test can replay any part of them and
-//! gets the contents of a disk after a power loss at that point.
+//! A storage backend in memory that records every call made on it. A test can replay any part of the calls, which gives
+//! the contents of a disk after a power loss at that point.
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A call on the storage, as it was made.
+/// A recorded call on the storage.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Bytes written.
+    /// Writes bytes to the storage.
     Write {
-        /// Offset of the first byte.
+        /// Offset of the first byte in the storage.
         offset: u64,
-        /// The bytes.
+        /// Bytes to write.
         data: Vec<u8>,
     },
-    /// The storage was given this length in bytes.
+    /// Changes the length of the storage to this number of bytes.
     Resize(u64),
-    /// Everything written before was to be made durable.
+    /// Makes all earlier writes durable.
     Sync,
 }
 
-/// A storage in memory that records every call made on it. Clones share their contents.
+/// A storage in memory that records every call made on it. Clones share the contents and the recorded calls.
 #[derive(Clone, Debug, Default)]
 pub struct RecordingBackend {
     contents: Arc<Mutex<Vec<u8>>>,
@@ -28,7 +28,7 @@
 }
 
 impl RecordingBackend {
-    /// A storage with contents, and no calls yet.
+    /// Returns a storage with these contents and without recorded calls.
     #[must_use]
     pub fn with_contents(contents: Vec<u8>) -> Self {
         RecordingBackend {
@@ -37,24 +37,28 @@
         }
     }
 
-    /// The present contents of the storage.
+    /// Returns the current contents of the storage.
     #[must_use]
     pub fn contents(&self) -> Vec<u8> {
         self.lock_contents().clone()
     }
 
-    /// The calls made so far.
+    /// Returns the calls made so far.
     #[must_use]
     pub fn calls(&self) -> Vec<Call> {
         self.lock_calls().clone()
     }
 
     fn lock_contents(&self) -> MutexGuard<'_, Vec<u8>> {
-        self.contents.lock().expect("no user of the lock panics")
+        self.contents
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 
     fn lock_calls(&self) -> MutexGuard<'_, Vec<Call>> {
-        self.calls.lock().expect("no user of the lock panics")
+        self.calls
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
@@ -75,7 +79,7 @@
 }
 
 fn as_index(offset: u64) -> usize {
-    usize::try_from(offset).expect("a storage in memory fits the address space")
+    usize::try_from(offset).expect("offsets in a storage in memory fit the address space")
 }
 
 impl StorageBackend for RecordingBackend {
