--- a/crates/archive/src/format.rs
+++ b/crates/archive/src/format.rs
@@ -1,24 +1,24 @@
-//! What writer and reader share: constants of the format, the header, and the state of a stream.
+//! The format of a stream, which writer and reader share: its constants, the header, and the state of a stream.
 use blake3::{Hash, Hasher};
 
-/// The first bytes of every stream.
+/// First bytes of every stream.
 pub(crate) const MAGIC: [u8; 8] = *b"MSEAM1\n\0";
-/// The first byte of a frame.
+/// First byte of a frame.
 pub(crate) const FRAME_TAG: u8 = b'F';
-/// The first byte of the end record.
+/// First byte of the end record.
 pub(crate) const END_TAG: u8 = b'E';
-/// Bytes of a BLAKE3 hash.
+/// Size of a BLAKE3 hash, in bytes.
 pub(crate) const HASH_BYTES: usize = blake3::OUT_LEN;
-/// Bytes of a frame but for its data: tag, index, length, hash.
-const FRAME_OVERHEAD: u64 = 1 + 4 + 4 + HASH_BYTES as u64;
-/// Bytes of the end record: tag, number of frames, hash.
+/// Size of a frame without its data (tag, index, length and hash), in bytes.
+const FRAME_OVERHEAD_BYTES: u64 = 1 + 4 + 4 + HASH_BYTES as u64;
+/// Size of the end record (tag, number of frames and hash), in bytes.
 pub(crate) const END_BYTES: u64 = 1 + 4 + HASH_BYTES as u64;
-/// Largest extent that is accepted, in bytes: a damaged length must not allocate all memory.
+/// Maximum size of an extent, in bytes. The limit keeps a damaged header from allocating all memory.
 const MAX_EXTENT_BYTES: u32 = 256 << 20;
-/// Longest name of a snapshot, in bytes.
+/// Maximum length of the name of a snapshot, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// The header of a stream: what it contains.
+/// The header of a stream, which describes the snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
     /// Name of the snapshot, at most 256 bytes.
@@ -30,7 +30,8 @@
 }
 
 impl Header {
-    /// The bytes of the header but for its hash. None: the name or the extents are out of bounds.
+    /// Returns the bytes of the header without its hash, or `None` if the name or the size of an extent is out of
+    /// bounds.
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
         let fixed = FixedHeader {
             extent_bytes: self.extent_bytes,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The fields of a header in front of the name.
+/// The fields of a header before the name, which have a fixed size.
 pub(crate) struct FixedHeader {
     pub(crate) extent_bytes: u32,
     pub(crate) extent_count: u32,
@@ -55,7 +56,7 @@
 }
 
 impl FixedHeader {
-    /// Bytes of all fields, with [`MAGIC`] in front.
+    /// Size of [`MAGIC`] and all fixed fields, in bytes.
     pub(crate) const BYTES: usize = 18;
 
     fn encode(&self) -> [u8; FixedHeader::BYTES] {
@@ -67,7 +68,7 @@
         out
     }
 
-    /// The fields in these bytes. None: they are no header, or its sizes are out of bounds.
+    /// Returns the fields in these bytes, or `None` if the bytes are no header or a size in it is out of bounds.
     pub(crate) fn decode(bytes: [u8; FixedHeader::BYTES]) -> Option<FixedHeader> {
         let header = FixedHeader {
             extent_bytes: u32::from_le_bytes(field_at(&bytes, 8)),
@@ -84,7 +85,8 @@
     }
 }
 
-/// The bytes of a field. Offset and length are those of the format, which are within the header.
+/// Returns the bytes of a field. The offset and the length `N` are constants of the format, which lie within the
+/// header.
 fn field_at<const N: usize>(header: &[u8; FixedHeader::BYTES], offset: usize) -> [u8; N] {
     let mut field = [0; N];
     field.copy_from_slice(&header[offset..offset + N]);
@@ -94,18 +96,18 @@
 /// The state of a stream after its last complete record, from which a writer can resume it.
 #[derive(Clone, Debug)]
 pub struct ResumePoint {
-    /// Bytes of complete records.
+    /// Length of all complete records, in bytes.
     pub valid_bytes: u64,
-    /// Index of the last extent. None: there is no frame yet.
+    /// Index of the extent in the last frame. None: there is no frame yet.
     pub last_extent: Option<u32>,
-    /// Number of frames.
+    /// Number of complete frames.
     pub frame_count: u32,
-    /// Over the hashes of header and frames.
+    /// Hasher over the hashes of the header and the frames.
     hasher: Hasher,
 }
 
 impl ResumePoint {
-    /// The state after the header.
+    /// Returns the state of a stream after its header.
     pub(crate) fn after_header(header_bytes: usize, header_hash: &Hash) -> ResumePoint {
         let mut hasher = Hasher::new();
         hasher.update(header_hash.as_bytes());
@@ -118,20 +120,21 @@
         }
     }
 
-    /// Moves on past a frame.
+    /// Advances the state by a frame.
     pub(crate) fn add_frame(&mut self, extent: u32, data_bytes: usize, hash: &Hash) {
         self.hasher.update(hash.as_bytes());
         self.last_extent = Some(extent);
         self.frame_count += 1;
-        self.valid_bytes += FRAME_OVERHEAD + data_bytes as u64;
+        self.valid_bytes += FRAME_OVERHEAD_BYTES + data_bytes as u64;
     }
 
-    /// The hash in the end record of a stream that ends here.
+    /// Returns the hash of the end record of a stream that ends in this state.
     pub(crate) fn end_hash(&self) -> Hash {
         self.hasher.finalize()
     }
 }
 
+/// Returns the hash of a frame, over the index of the extent and its compressed data.
 pub(crate) fn frame_hash(extent: u32, compressed: &[u8]) -> Hash {
     let mut hasher = Hasher::new();
     hasher.update(&extent.to_le_bytes());
--- a/crates/archive/src/reader.rs
+++ b/crates/archive/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a stream.
+//! Reads a snapshot stream.
 use crate::error::Error;
 use crate::format::{END_TAG, FRAME_TAG, FixedHeader, HASH_BYTES, Header, ResumePoint, frame_hash};
 use std::io::Read;
@@ -6,18 +6,18 @@
 /// A record of a stream after its header.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Record {
-    /// An extent.
+    /// A frame with an extent.
     Extent {
-        /// Its index.
+        /// Index of the extent.
         index: u32,
-        /// Its data, uncompressed.
+        /// Uncompressed data of the extent.
         data: Vec<u8>,
     },
-    /// The end of a complete stream.
+    /// The end record of a complete stream.
     End,
 }
 
-/// Reads a stream from an input.
+/// Reads a snapshot stream from an input.
 pub struct Reader<R> {
     input: R,
     header: Header,
@@ -25,13 +25,13 @@
 }
 
 impl<R: Read> Reader<R> {
-    /// Reads the header.
+    /// Returns a reader that has read the header.
     ///
     /// # Errors
     ///
-    /// [`Error::Damaged`]: the input is no stream, or its header is damaged or truncated.
+    /// Returns [`Error::Damaged`] if the input is no snapshot stream, or its header is damaged or truncated.
     pub fn new(mut input: R) -> Result<Self, Error> {
-        let no_header = || Error::damaged(0, "the head of a snapshot stream");
+        let no_header = || Error::damaged(0, "the header of a snapshot stream");
         let mut fixed = [0; FixedHeader::BYTES];
         input.read_exact(&mut fixed).map_err(|_| no_header())?;
         let fields = FixedHeader::decode(fixed).ok_or_else(no_header)?;
@@ -42,10 +42,10 @@
         let bytes = [&fixed[..], name].concat();
         let hash = blake3::hash(&bytes);
         if hash.as_bytes()[..] != *stored_hash {
-            return Err(Error::damaged(bytes.len() as u64, "the hash of the head"));
+            return Err(Error::damaged(bytes.len() as u64, "the hash of the header"));
         }
         let name = String::from_utf8(name.to_vec())
-            .map_err(|_| Error::damaged(FixedHeader::BYTES as u64, "a name"))?;
+            .map_err(|_| Error::damaged(FixedHeader::BYTES as u64, "a snapshot name in UTF-8"))?;
         let position = ResumePoint::after_header(bytes.len(), &hash);
         Ok(Reader {
             input,
@@ -58,12 +58,12 @@
         })
     }
 
-    /// The header.
+    /// Returns the header of the stream.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
-    /// The state after the last complete record that was read.
+    /// Returns the state of the stream after the last complete record that was read.
     pub fn resume_point(&self) -> &ResumePoint {
         &self.position
     }
@@ -72,39 +72,39 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Damaged`]: the record is damaged or truncated. The resume point stays before it.
+    /// Returns [`Error::Damaged`] if the record is damaged or truncated. The resume point stays before that record.
     pub fn next_record(&mut self) -> Result<Record, Error> {
-        // The extent of a frame, or the number of frames at the end.
+        // In a frame, the value is the index of the extent; in the end record, the number of frames.
         let [tag, value @ ..] = self.read_array::<5>()?;
         let value = u32::from_le_bytes(value);
         match tag {
             FRAME_TAG => self.read_extent(value),
             END_TAG => self.read_end(value),
-            _ => Err(self.damaged("a frame or the end")),
+            _ => Err(self.damaged("a frame or the end record")),
         }
     }
 
     fn read_extent(&mut self, index: u32) -> Result<Record, Error> {
         let is_ascending = self.position.last_extent.is_none_or(|last| index > last);
         if index >= self.header.extent_count || !is_ascending {
-            return Err(self.damaged("an extent of the snapshot, in order"));
+            return Err(self.damaged("an extent of the snapshot, in ascending order"));
         }
         let length = u32::from_le_bytes(self.read_array()?) as usize;
         let extent_bytes = self.header.extent_bytes as usize;
         if length > max_compressed_bytes(extent_bytes) {
-            return Err(self.damaged("a length that fits an extent"));
+            return Err(self.damaged("a length of compressed data that fits an extent"));
         }
         let mut compressed = vec![0; length];
         self.read(&mut compressed)?;
         let stored_hash: [u8; HASH_BYTES] = self.read_array()?;
-        // Damaged data is not decompressed.
+        // The hash is checked first, so that damaged data is never decompressed.
         let hash = frame_hash(index, &compressed);
         if *hash.as_bytes() != stored_hash {
             return Err(self.damaged("data that fits its hash"));
         }
         let data = zstd::bulk::decompress(&compressed, extent_bytes).ok();
         let data = data.filter(|data| data.len() == extent_bytes);
-        let data = data.ok_or_else(|| self.damaged("data that unpacks to an extent"))?;
+        let data = data.ok_or_else(|| self.damaged("data that decompresses to one extent"))?;
         self.position.add_frame(index, length, &hash);
         Ok(Record::Extent { index, data })
     }
@@ -114,7 +114,7 @@
         if frame_count != self.position.frame_count
             || *self.position.end_hash().as_bytes() != stored_hash
         {
-            return Err(self.damaged("an end that fits the frames before it"));
+            return Err(self.damaged("an end record that matches the frames before it"));
         }
         Ok(Record::End)
     }
@@ -128,17 +128,17 @@
     fn read(&mut self, out: &mut [u8]) -> Result<(), Error> {
         self.input
             .read_exact(out)
-            .map_err(|_| self.damaged("a whole frame or the end"))
+            .map_err(|_| self.damaged("a complete frame or end record"))
     }
 
-    /// An error at the record that is being read.
+    /// Returns an error about the record that is being read.
     fn damaged(&self, expected: &'static str) -> Error {
         Error::damaged(self.position.valid_bytes, expected)
     }
 }
 
-/// Most bytes that an extent has compressed. Data that cannot be compressed grows by a small overhead only: a longer
-/// frame is damaged, and must not allocate memory.
+/// Returns the maximum length of a compressed extent, in bytes. Data that cannot be compressed grows only by a small
+/// overhead, so a longer frame is damaged and must not allocate memory.
 fn max_compressed_bytes(extent_bytes: usize) -> usize {
     extent_bytes + extent_bytes / 8 + 1024
 }
--- a/crates/archive/src/writer.rs
+++ b/crates/archive/src/writer.rs
@@ -1,23 +1,24 @@
-//! Writing a stream.
+//! Writes a snapshot stream.
 use crate::error::Error;
 use crate::format::{END_BYTES, END_TAG, FRAME_TAG, Header, ResumePoint, frame_hash};
 use std::io::Write;
 
-/// Level of the compression: the default of zstd. Pages of databases become little smaller at higher levels.
+/// Compression level, which is the default of zstd. Pages of databases become little smaller at higher levels.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// Writes a stream to an output.
+/// Writes a snapshot stream to an output.
 pub struct Writer<W> {
     out: W,
     position: ResumePoint,
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a stream with its header.
+    /// Begins a stream and writes its header.
     ///
     /// # Errors
     ///
-    /// A name longer than 256 bytes, an extent of no bytes or of more than 256 MiB; those of the output.
+    /// Returns [`Error::Damaged`] if the name is longer than 256 bytes, or the size of an extent is 0 or more than
+    /// 256 MiB. Returns the errors of the output.
     pub fn new(mut out: W, header: &Header) -> Result<Self, Error> {
         let out_of_bounds = "a name of up to 256 bytes and extents of up to 256 MiB";
         let bytes = header.encode().ok_or(Error::damaged(0, out_of_bounds))?;
@@ -35,11 +36,12 @@
         Writer { out, position }
     }
 
-    /// Writes an extent. Extents have to be written in ascending order; those of zeros need not be written.
+    /// Writes an extent. Extents have to be written in ascending order. Extents that contain only zeros need not be
+    /// written.
     ///
     /// # Errors
     ///
-    /// Those of the output.
+    /// Returns the errors of compression and of the output.
     pub fn write_extent(&mut self, index: u32, data: &[u8]) -> Result<(), Error> {
         let compressed = zstd::bulk::compress(data, COMPRESSION_LEVEL)?;
         let hash = frame_hash(index, &compressed);
@@ -53,11 +55,11 @@
         Ok(())
     }
 
-    /// Ends the stream. Returns its length in bytes.
+    /// Ends the stream with the end record. Returns the length of the stream in bytes.
     ///
     /// # Errors
     ///
-    /// Those of the output.
+    /// Returns the errors of the output.
     pub fn finish(mut self) -> Result<u64, Error> {
         self.out.write_all(&[END_TAG])?;
         self.out
