--- a/crates/catalog-service/src/settings.rs
+++ b/crates/catalog-service/src/settings.rs
@@ -5,7 +5,6 @@
 use mallowseam_settings::config::{Catalog, Volume};
 use std::collections::BTreeSet;
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
 /// A volume of the configuration whose extents the catalog maps.
--- a/crates/cow/src/consistent_cut.rs
+++ b/crates/cow/src/consistent_cut.rs
@@ -12,7 +12,7 @@
 /// operator would not wait longer for a node that does not answer.
 pub const CUT_TIMEOUT: Millis = 5_000;
 
-/// Why a snapshot failed.
+/// Why a requested snapshot was not created.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CutFailure {
     /// The state of the tree does not allow the snapshot.
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// [`CutFailure::Rejected`] for a snapshot that could not be granted, before anything is frozen.
+    /// Returns [`CutFailure::Rejected`] if the snapshot could not be granted. Nothing is frozen then.
     pub fn begin(
         tree: &Tree,
         branch: &str,
--- a/crates/cow/src/messages.rs
+++ b/crates/cow/src/messages.rs
@@ -179,7 +179,7 @@
         granted: bool,
     },
     /// Rejects the location that the host has proposed for an extent: another host was first, or the layer is frozen.
-    /// The change that shows which follows.
+    /// The change from which the host learns which of the two holds follows.
     #[serde(rename = "not-placed")]
     LocationRejected {
         /// Layer of the proposed location.
--- a/crates/cow/src/tree/model.rs
+++ b/crates/cow/src/tree/model.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// A layer of extent locations over a parent layer.
+/// A layer: a set of extent locations over a parent layer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Layer {
     /// Layer in which extents are found that have no location in this layer.
@@ -108,7 +108,7 @@
     /// LUN by which clients access the branch. It stays the same through all cuts.
     #[serde(rename = "unit")]
     pub lun: u32,
-    /// Size in extents.
+    /// Size of the branch in extents.
     #[serde(rename = "extents")]
     pub extent_count: u32,
     /// Full name (`branch@name`) of the snapshot that a clone was created from. None: the branch is a volume.
@@ -125,7 +125,7 @@
     pub lun: u32,
     /// Frozen layer through which the snapshot is read.
     pub layer: LayerId,
-    /// Size in extents.
+    /// Size of the snapshot in extents.
     #[serde(rename = "extents")]
     pub extent_count: u32,
 }
