--- a/crates/placement/src/branch_and_bound.rs
+++ b/crates/placement/src/branch_and_bound.rs
@@ -1,5 +1,5 @@
-//! The optimal placement, proven by branch and bound: volumes are placed one by one, the hardest first, and partial
-//! placements that are infeasible or cannot be optimal are pruned.
+//! Exact search for the optimal placement by branch and bound: volumes are placed one by one, the hardest first, and
+//! partial placements that are infeasible or cannot become optimal are pruned.
 use crate::constraint::{Constraint, ConstraintFilter};
 use crate::feasibility::{FULL_CAPACITY, fits};
 use crate::objective::{Objective, cost, moved_data, objective};
@@ -8,44 +8,46 @@
 use crate::{Assignment, NodeIndex, Placement, VolumeIndex};
 use std::cmp::Reverse;
 
-/// The result of a search.
+/// Result of [`solve`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SolveOutcome {
-    /// The optimal placement, proven.
+    /// The placement is proven to be optimal.
     Optimal(Objective),
-    /// Proven that no placement is feasible.
+    /// It is proven that no placement is feasible.
     Infeasible,
-    /// The search has exceeded its steps.
+    /// The search has used up its steps before a proof.
     StepsExhausted {
-        /// The best placement so far.
+        /// Best placement found so far; `None` if none was found.
         best: Option<Objective>,
-        /// An upper bound on the gain of any placement.
+        /// Upper bound on the gain of any placement.
         gain_upper_bound: i128,
     },
 }
 
+/// State of a branch-and-bound search.
 struct Search<'a> {
     problem: &'a Problem,
     is_active: ConstraintFilter<'a>,
     capacity_per_mille: u64,
-    /// Volumes in the order in which they are placed.
+    /// All volumes, in the order in which they are placed.
     order: Vec<VolumeIndex>,
-    /// The node sets that each volume's own constraints allow.
+    /// For each volume, the node sets that satisfy its zone constraints.
     allowed: Vec<Vec<Vec<NodeIndex>>>,
-    /// For each position in the order, the last position before it with a volume that differs by its name only. The
-    /// node set of such a volume is never before that of its predecessor (symmetry breaking): with the two exchanged the
-    /// objective would be the same, and the first placement in order of names is the better one.
+    /// For each position in `order`, the last earlier position with a volume that differs in its name only. The search is
+    /// limited to placements in which the node set of a volume is not before that of its identical predecessor (symmetry
+    /// breaking): exchanging the two node sets leaves the objective unchanged but for the order of names, which prefers
+    /// the ascending one.
     identical_predecessors: Vec<Option<usize>>,
-    /// For each position in the order, the index of the chosen node set.
+    /// For each position in `order`, the index of the chosen node set in `allowed`.
     chosen: Vec<usize>,
     gain_upper_bound: i128,
-    /// Stop at the first placement that fits.
+    /// Whether the search stops at the first feasible placement.
     stop_at_first: bool,
     steps_left: u64,
     best: Option<Objective>,
 }
 
-/// Finds the optimal placement within `max_steps`. A step is one node set tried for one volume.
+/// Searches for the optimal placement with at most `max_steps` steps. A step is one node set tried for one volume.
 #[must_use]
 pub fn solve(problem: &Problem, max_steps: u64) -> SolveOutcome {
     let mut search = Search::new(problem, &|_| true, FULL_CAPACITY, false, max_steps);
@@ -60,8 +62,8 @@
     }
 }
 
-/// Whether any placement meets the active constraints, with capacities in thousandths of the given ones. None:
-/// `max_steps` was exceeded.
+/// Returns whether any placement meets the active constraints. `capacity_per_mille` is a factor on all capacities, in
+/// thousandths. Returns `None` if the answer is still unknown after `max_steps` steps.
 #[must_use]
 pub fn is_feasible(
     problem: &Problem,
@@ -92,7 +94,8 @@
             .map(|volume| problem.allowed_node_sets(volume, is_active))
             .collect();
         let mut order: Vec<VolumeIndex> = volumes.collect();
-        // Volumes without an allowed set and those with much reserve first, so that infeasible branches are pruned early.
+        // Volumes without an allowed node set come first, then those with the largest reserves, so that infeasible
+        // branches are pruned early.
         order.sort_by_key(|v| {
             (
                 allowed[*v].len().min(1),
@@ -125,10 +128,10 @@
         self.steps_left == 0 || self.stop_at_first && self.best.is_some()
     }
 
-    /// Searches all placements, but for pruned ones, of the volumes from a position in the order on.
+    /// Searches the placements of the volumes from `position` in `order` on, given the placement of those before it.
     fn place_from(&mut self, position: usize, placement: &mut Placement) {
         if position == self.order.len() {
-            return self.consider(placement);
+            return self.keep_if_best(placement);
         }
         let volume = self.order[position];
         let first = self.identical_predecessors[position].map_or(0, |earlier| self.chosen[earlier]);
@@ -147,15 +150,15 @@
         placement[volume] = Vec::new();
     }
 
-    /// Retains a complete placement if it is the best so far.
-    fn consider(&mut self, placement: &Placement) {
+    /// Keeps a complete placement if it is better than the best so far.
+    fn keep_if_best(&mut self, placement: &Placement) {
         let found = objective(self.problem, placement);
         if self.best.as_ref().is_none_or(|best| found > *best) {
             self.best = Some(found);
         }
     }
 
-    /// Whether the volumes placed so far fit. Further volumes only add load.
+    /// Returns whether the volumes placed so far fit. If not, no completion fits, since further volumes only add load.
     fn fits_so_far(&self, placed: &[VolumeIndex], placement: &Placement) -> bool {
         let assignments: Vec<Assignment> = placed
             .iter()
@@ -172,8 +175,8 @@
         )
     }
 
-    /// Whether a completion of this partial placement can be better than the best so far: no gain is above the upper
-    /// bound, and cost and moved data never shrink.
+    /// Returns whether a completion of this partial placement can be better than the best placement so far. Its gain is at
+    /// most the upper bound, and its cost and moved data are at least those of the partial placement.
     fn may_be_optimal(&self, placed: &[VolumeIndex], placement: &Placement) -> bool {
         let Some(best) = self.best.as_ref().filter(|_| !self.stop_at_first) else {
             return true;
@@ -194,7 +197,7 @@
     }
 }
 
-/// For each position in the order, the last position before it with a volume that differs by its name only.
+/// Returns for each position in `order` the last earlier position with a volume that differs in its name only.
 fn find_identical_predecessors(
     problem: &Problem,
     order: &[VolumeIndex],
--- a/crates/placement/src/constraint.rs
+++ b/crates/placement/src/constraint.rs
@@ -1,29 +1,29 @@
-//! The constraints that a placement must meet, each of which can be left out to explain why a problem is infeasible.
+//! The constraints that a placement must meet. Each of them can be deactivated to find out why a problem is infeasible.
 use crate::problem::Problem;
 use crate::{NodeIndex, VolumeIndex};
 
-/// One constraint.
+/// A constraint that a placement must meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Constraint {
-    /// The capacity of a node.
+    /// The load of a node is at most its capacity.
     Capacity(NodeIndex),
-    /// The reserve of a volume.
+    /// The nodes of a volume serve its reserve.
     Reserve(VolumeIndex),
-    /// The zone that a volume must be in.
+    /// All nodes of a volume are in its zone.
     Zone(VolumeIndex),
-    /// No two nodes of a volume are in one zone.
+    /// All nodes of a volume are in different zones.
     DistinctZones(VolumeIndex),
-    /// A volume's reserve fits with any one node lost.
+    /// The reserve of a volume still fits after the loss of any one node.
     SurvivesNodeLoss(VolumeIndex),
-    /// A volume's reserve fits with any one zone lost.
+    /// The reserve of a volume still fits after the loss of any one zone.
     SurvivesZoneLoss(VolumeIndex),
 }
 
-/// Whether a constraint is active.
+/// Predicate that returns whether a constraint is active. An inactive constraint is ignored.
 pub type ConstraintFilter<'a> = &'a dyn Fn(Constraint) -> bool;
 
 impl Problem {
-    /// All constraints of the problem, in ascending order of nodes, then of volumes.
+    /// Returns all constraints of the problem: those of nodes, then those of volumes, each in ascending order of index.
     #[must_use]
     pub fn constraints(&self) -> Vec<Constraint> {
         let mut constraints: Vec<Constraint> =
@@ -48,7 +48,7 @@
         constraints
     }
 
-    /// A constraint as text for operators.
+    /// Returns a description of a constraint for operators.
     #[must_use]
     pub fn describe(&self, constraint: Constraint) -> String {
         let name = |volume: VolumeIndex| &self.volumes[volume].name;
@@ -81,7 +81,7 @@
     }
 }
 
-/// A rate in thousandths of a unit a second, as a decimal number.
+/// Formats a rate in thousandths of a unit per second as a decimal number of units per second.
 fn format_rate(rate: u64) -> String {
     format!("{}.{:03}/s", rate / 1000, rate % 1000)
 }
--- a/crates/placement/src/feasibility.rs
+++ b/crates/placement/src/feasibility.rs
@@ -1,13 +1,13 @@
-//! Whether the reserves of a placement fit at every node, now and with any one node or zone lost.
+//! Feasibility of a placement: whether its reserves fit at every node, now and after the loss of any one node or zone.
 use crate::constraint::{Constraint, ConstraintFilter};
 use crate::problem::{Problem, SCALE};
 use crate::{Assignment, NodeIndex, VolumeIndex};
 use std::collections::BTreeSet;
 
-/// The capacities as they are, in thousandths of themselves.
+/// Capacity factor, in thousandths, that leaves the capacities unchanged.
 pub const FULL_CAPACITY: u64 = 1000;
 
-/// The loss of a node or a zone.
+/// A failure case: no loss, or the loss of one node or one zone.
 #[derive(Clone, Copy)]
 enum Loss<'a> {
     Nothing,
@@ -16,6 +16,7 @@
 }
 
 impl Loss<'_> {
+    /// Returns whether a node is lost.
     fn includes(self, problem: &Problem, node: NodeIndex) -> bool {
         match self {
             Loss::Nothing => false,
@@ -24,8 +25,8 @@
         }
     }
 
-    /// Whether a volume's reserve must fit in spite of the loss.
-    fn is_survived_by(
+    /// Returns whether a volume's reserve must still fit after the loss.
+    fn must_be_survived_by(
         self,
         problem: &Problem,
         volume: VolumeIndex,
@@ -55,7 +56,8 @@
     problem.volumes[volume].survives_zone_loss && is_active(Constraint::SurvivesZoneLoss(volume))
 }
 
-/// No loss, then the loss of each node and of each zone if any of the volumes must survive that.
+/// Returns the failure cases to check: no loss; the loss of each node, if any assigned volume must survive a node loss;
+/// and the loss of each zone, if any assigned volume must survive a zone loss.
 fn losses<'a>(
     problem: &'a Problem,
     assignments: &[Assignment],
@@ -82,8 +84,8 @@
     losses
 }
 
-/// The rates that are reserved at each node in a loss, scaled; none if a volume that must survive the loss has no
-/// node left.
+/// Returns the reserved rate at each node after a loss, times [`SCALE`]. Returns `None` if a volume that must survive
+/// the loss has no node left.
 fn node_loads(
     problem: &Problem,
     assignments: &[Assignment],
@@ -93,17 +95,17 @@
     let mut loads = vec![0; problem.nodes.len()];
     for Assignment { volume, nodes } in assignments.iter().copied() {
         let reserve = i128::from(problem.volumes[volume].reserved_rate) * SCALE;
-        // A volume without a reserve has nothing that could be lost.
+        // A volume without a reserve adds no load and survives every loss.
         if reserve == 0 || !is_active(Constraint::Reserve(volume)) {
             continue;
         }
         let is_left = |node: &&NodeIndex| !loss.includes(problem, **node);
         let left = nodes.iter().filter(is_left).count();
-        let survives = loss.is_survived_by(problem, volume, is_active);
+        let survives = loss.must_be_survived_by(problem, volume, is_active);
         if left == 0 && survives {
             return None;
         }
-        // A volume that need not survive keeps the same load on the nodes that are left.
+        // The remaining nodes take over the load of the lost ones only for a volume that must survive the loss.
         let sharing = if survives { left } else { nodes.len() };
         for node in nodes.iter().filter(is_left) {
             loads[*node] += reserve / sharing as i128;
@@ -112,8 +114,8 @@
     Some(loads)
 }
 
-/// Whether the reserves of these volumes fit at every node, now and in every loss that one of them must survive.
-/// `capacity_per_mille`: thousandths of its capacity that each node has, see [`FULL_CAPACITY`].
+/// Returns whether the reserves of the assigned volumes fit at every node, now and after every loss that one of them
+/// must survive. `capacity_per_mille` is a factor on the capacity of each node, in thousandths; see [`FULL_CAPACITY`].
 #[must_use]
 pub fn fits(
     problem: &Problem,
@@ -139,12 +141,12 @@
         })
 }
 
-/// By how much the reserves exceed the capacities: reserved rates beyond each node's capacity, scaled, summed over no loss
-/// and every loss; 0 if they fit. The reserve of a volume that has no node left
-/// in a loss which it must survive counts in full.
+/// Returns by how much the reserves exceed the capacities of the nodes, times [`SCALE`], summed over the case without a
+/// loss and every loss that must be survived; 0 if the reserves fit. The reserve of a volume that must survive a loss and
+/// has no node left counts in full.
 ///
 /// # Panics
-/// Never: loads are computed for volumes that have a node left.
+/// Does not panic: loads after a loss are computed only for volumes that have a node left.
 #[must_use]
 pub fn excess(problem: &Problem, assignments: &[Assignment]) -> i128 {
     let is_active = |_: Constraint| true;
@@ -159,11 +161,12 @@
             assignments.iter().copied().partition(is_lost);
         let unmet = lost
             .iter()
-            .filter(|a| loss.is_survived_by(problem, a.volume, &is_active));
+            .filter(|a| loss.must_be_survived_by(problem, a.volume, &is_active));
         let unmet: i128 = unmet
             .map(|a| i128::from(problem.volumes[a.volume].reserved_rate) * SCALE)
             .sum();
-        let loads = node_loads(problem, &left, &is_active, loss).expect("each has a node left");
+        let loads =
+            node_loads(problem, &left, &is_active, loss).expect("each volume has a node left");
         let capacity = |node: NodeIndex| i128::from(problem.nodes[node].capacity) * SCALE;
         let beyond = loads
             .iter()
--- a/crates/placement/src/infeasibility.rs
+++ b/crates/placement/src/infeasibility.rs
@@ -1,29 +1,30 @@
-//! Why no placement is feasible: an irreducible set of constraints that contradict each other, and the least relaxation of
-//! capacities that makes it feasible.
+//! Explanation of infeasible problems: an irreducible set of constraints that contradict each other, and the least
+//! increase of all capacities that makes the problem feasible.
 use crate::branch_and_bound::is_feasible;
 use crate::constraint::Constraint;
 use crate::feasibility::FULL_CAPACITY;
 use crate::problem::Problem;
 use std::collections::BTreeSet;
 
-/// Largest relaxation of capacities, a thousandfold: beyond it, capacity is not the reason.
+/// Largest capacity factor that is tried, in thousandths. A problem that is infeasible with a thousand times its
+/// capacities is not infeasible for lack of capacity.
 const MAX_CAPACITY_PER_MILLE: u64 = 1_000_000;
 
-/// Why no placement is feasible.
+/// Reasons why a problem has no feasible placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Infeasibility {
-    /// Constraints that contradict each other. Without any one of them the others can be met.
+    /// Constraints that contradict each other. If any one of them is removed, the others can be met.
     pub constraints: Vec<Constraint>,
-    /// Least thousandths of all capacities with which the problem is feasible; none if no capacity is enough.
+    /// Least factor on all capacities, in thousandths, that makes the problem feasible; `None` if no factor does.
     pub least_capacity_per_mille: Option<u64>,
 }
 
-/// Explains why a problem is infeasible. None: it is feasible, or a search has exceeded `max_steps`, which bounds each of
-/// the searches.
+/// Explains why a problem is infeasible. Returns `None` if the problem is feasible, or if one of the searches needs more
+/// than `max_steps` steps.
 #[must_use]
 pub fn explain(problem: &Problem, max_steps: u64) -> Option<Infeasibility> {
     let all: BTreeSet<Constraint> = problem.constraints().into_iter().collect();
-    let is_possible = |constraints: &BTreeSet<Constraint>, capacity_per_mille| {
+    let is_feasible_with = |constraints: &BTreeSet<Constraint>, capacity_per_mille| {
         is_feasible(
             problem,
             &|c| constraints.contains(&c),
@@ -31,25 +32,25 @@
             max_steps,
         )
     };
-    if is_possible(&all, FULL_CAPACITY)? {
+    if is_feasible_with(&all, FULL_CAPACITY)? {
         return None;
     }
-    // A constraint whose removal leaves the problem infeasible is no part of the contradiction. One pass is
-    // enough: what could not be removed from a larger set cannot be removed from a smaller one.
+    // A constraint is redundant if the problem stays infeasible without it. One pass is enough: a constraint that
+    // cannot be removed from a larger set cannot be removed from a smaller one either.
     let mut contradiction = all.clone();
     for constraint in problem.constraints().into_iter().rev() {
         contradiction.remove(&constraint);
-        if is_possible(&contradiction, FULL_CAPACITY)? {
+        if is_feasible_with(&contradiction, FULL_CAPACITY)? {
             contradiction.insert(constraint);
         }
     }
     let mut least_capacity_per_mille = None;
-    if is_possible(&all, MAX_CAPACITY_PER_MILLE)? {
+    if is_feasible_with(&all, MAX_CAPACITY_PER_MILLE)? {
         let mut too_low = FULL_CAPACITY;
         let mut enough = MAX_CAPACITY_PER_MILLE;
         while too_low + 1 < enough {
             let middle = too_low + (enough - too_low) / 2;
-            if is_possible(&all, middle)? {
+            if is_feasible_with(&all, middle)? {
                 enough = middle;
             } else {
                 too_low = middle;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,18 +1,19 @@
-//! Works out, ahead of time, which nodes each volume is placed on. `docs/placement.md` describes the problem and
-//! the alternatives that were considered.
+//! Offline solver for the placement of volumes on nodes. `docs/placement.md` describes the problem and the
+//! alternatives that were considered.
 //!
-//! A placement must fit: the volumes' reserved rates fit at every node, also with any one node or zone lost where
-//! a volume must survive that. Of those that fit, the best one has the most gain when all volumes surge at once,
-//! then the least cost, then the least data moved, then the first in order of names. All numbers are integers, so that what
-//! fits and what ties is exact, and the same problem always has the same answer, in whatever order it is written.
+//! A placement is feasible if the reserved rates of the volumes fit at every node, and still fit after the loss of any
+//! one node or zone for the volumes that must survive it. The optimal placement is the feasible one with the highest
+//! gain when all volumes surge at once; ties are broken by lowest cost, then by least data moved, then by the order of
+//! names. All numbers are integers, so that feasibility and ties are exact, and a problem always has the same solution
+//! regardless of the order in which its nodes and volumes are listed.
 //!
-//! - [`problem`]: nodes, volumes and hosts, checked and put in order; [`constraint`]: what a placement must meet;
-//!   `node_sets`: the sets of nodes that a volume may be placed on.
-//! - [`feasibility`]: whether a placement fits; [`objective`]: how good it is.
-//! - [`branch_and_bound`]: the optimal placement of a small problem, proven; [`upper_bound`]: an upper bound of the gain.
+//! - [`problem`]: nodes, volumes and hosts, validated and sorted by name; [`constraint`]: the constraints on a placement;
+//!   `node_sets`: the node sets that a volume may be placed on.
+//! - [`feasibility`]: whether a placement is feasible; [`objective`]: the objective function.
+//! - [`branch_and_bound`]: the proven optimum of a small problem; [`upper_bound`]: an upper bound on the gain.
 //! - [`local_search`]: good placements of large problems.
-//! - [`infeasibility`]: why no placement fits.
-//! - [`tuning`]: weights and reserves that the problem leaves open; [`limit_split`]: a limit divided over hosts.
+//! - [`infeasibility`]: the constraints that make a problem infeasible.
+//! - [`tuning`]: weights and reserves that the problem leaves open; [`limit_split`]: a limit divided among hosts.
 //! - [`migration`]: the steps from the current placement to another one.
 //!
 //! ```
@@ -25,7 +26,7 @@
 //!     capacity: 10_000,
 //!     cost: 1,
 //! };
-//! // 6 units a second on two nodes, which must fit on one of them as well.
+//! // 6 units per second over two nodes; the whole reserve must also fit on either node alone.
 //! let volume = Volume {
 //!     name: "water".into(),
 //!     reserved_rate: 6_000,
@@ -36,8 +37,8 @@
 //!     ..Volume::default()
 //! };
 //! let nodes = vec![node("a", "east"), node("b", "east"), node("c", "west")];
-//! let problem = Problem::new(nodes, vec![volume]).expect("no mistakes");
-//! let SolveOutcome::Optimal(best) = solve(&problem, 1_000) else { panic!("it is small") };
+//! let problem = Problem::new(nodes, vec![volume]).expect("valid problem");
+//! let SolveOutcome::Optimal(best) = solve(&problem, 1_000) else { panic!("not solved within 1,000 steps") };
 //! assert_eq!(best.placement.0, [[0, 2]]);
 //! ```
 #![warn(missing_docs)]
@@ -63,16 +64,16 @@
 /// For each volume, by its index, the indices of its nodes in ascending order.
 pub type Placement = Vec<Vec<NodeIndex>>;
 
-/// A volume with the nodes that it is placed on.
+/// A volume and the nodes that it is placed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment<'a> {
-    /// The volume.
+    /// Index of the volume.
     pub volume: VolumeIndex,
-    /// Its nodes, in ascending order.
+    /// Nodes of the volume, in ascending order.
     pub nodes: &'a [NodeIndex],
 }
 
-/// The assignments of all volumes of a placement.
+/// Returns the assignments of all volumes of a placement, in order of the volumes.
 #[must_use]
 pub fn assignments(placement: &Placement) -> Vec<Assignment<'_>> {
     placement
@@ -82,7 +83,7 @@
         .collect()
 }
 
-/// The volumes that a placement puts on a node, in ascending order.
+/// Returns the volumes that are placed on a node, in ascending order.
 fn volumes_at(placement: &Placement, node: NodeIndex) -> Vec<VolumeIndex> {
     (0..placement.len())
         .filter(|volume| placement[*volume].contains(&node))
--- a/crates/placement/src/limit_split.rs
+++ b/crates/placement/src/limit_split.rs
@@ -1,9 +1,9 @@
-//! Divides a volume's limit over hosts.
+//! Division of a volume's rate limit into quotas of hosts.
 use std::cmp::Reverse;
 
-/// Divides a limit over hosts in proportion to what each sends to the volume, in integer quotas that add up to the
-/// limit. No quota is below `floor_per_mille` thousandths of an even one: a host that is idle now may send at
-/// any moment.
+/// Divides a rate limit into one integer quota per host, in proportion to the rates in `sent` that the hosts send to the
+/// volume. The quotas add up to the limit. No quota is below `floor_per_mille` thousandths of an even one, since an idle
+/// host may start to send at any moment.
 #[must_use]
 pub fn split_limit(limit: u64, sent: &[u64], floor_per_mille: u64) -> Vec<u64> {
     let hosts = sent.len() as u128;
@@ -22,7 +22,7 @@
         .iter()
         .map(|rate| (floor + proportional(*rate)) as u64)
         .collect();
-    // The remainder of the rounding goes to the hosts that send most, a thousandth of a unit each.
+    // The remainder of the rounding is distributed in thousandths of a unit, starting with the hosts that send most.
     let mut by_rate: Vec<usize> = (0..sent.len()).collect();
     by_rate.sort_by_key(|host| (Reverse(sent[*host]), *host));
     let remainder = limit - quotas.iter().sum::<u64>();
--- a/crates/placement/src/load_table.rs
+++ b/crates/placement/src/load_table.rs
@@ -1,4 +1,4 @@
-//! The load of reserves at nodes, updated incrementally while volumes are assigned and unassigned.
+//! Loads of nodes by the reserves of volumes, updated incrementally when volumes are assigned and unassigned.
 use crate::problem::{Problem, SCALE};
 use crate::{NodeIndex, VolumeIndex};
 use std::collections::BTreeMap;
@@ -6,14 +6,16 @@
 /// Index of a zone, in the order in which zones first appear among the nodes.
 type ZoneIndex = usize;
 
-/// Scaled loads of all nodes, now and in every loss.
+/// Loads of all nodes, now and after every loss. All loads are times [`SCALE`].
 pub(crate) struct LoadTable<'a> {
     problem: &'a Problem,
+    /// Zone of each node.
     zone_of: Vec<ZoneIndex>,
+    /// Load of each node without a loss.
     load: Vec<i128>,
-    /// What the loss of a node (first index) adds to the load of another one.
+    /// Load that the loss of one node (first index) adds to another node (second index).
     added_by_node_loss: Vec<Vec<i128>>,
-    /// What the loss of a zone (first index) adds to the load of a node outside.
+    /// Load that the loss of a zone (first index) adds to a node outside the zone (second index).
     added_by_zone_loss: Vec<Vec<i128>>,
 }
 
@@ -51,11 +53,12 @@
         self.change(volume, nodes, 1);
     }
 
-    /// Removes the load of a volume.
+    /// Removes the load of a volume that was placed on these nodes.
     pub fn remove(&mut self, volume: VolumeIndex, nodes: &[NodeIndex]) {
         self.change(volume, nodes, -1);
     }
 
+    /// Adds (`sign` 1) or removes (`sign` -1) the load of a volume on these nodes.
     fn change(&mut self, volume: VolumeIndex, nodes: &[NodeIndex], sign: i128) {
         let volume = &self.problem.volumes[volume];
         let reserve = i128::from(volume.reserved_rate) * SCALE;
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Whether all reserves fit at these nodes, now and in every loss.
+    /// Returns whether all reserves fit at these nodes, now and after every loss.
     pub fn fits_at(&self, nodes: &[NodeIndex]) -> bool {
         nodes.iter().all(|node| {
             let capacity = i128::from(self.problem.nodes[*node].capacity) * SCALE;
--- a/crates/placement/src/local_search.rs
+++ b/crates/placement/src/local_search.rs
@@ -1,6 +1,6 @@
-//! Placements of large problems: a first feasible one, then better ones by local search for a given number of steps.
-//! With [`crate::upper_bound`] the gap to the optimum is bounded at any moment. The same seed and steps
-//! always lead to the same placement.
+//! Local search for placements of large problems: constructs a feasible placement, then improves it for a given number of
+//! steps. [`crate::upper_bound`] bounds the gap between the current placement and the optimum. The same seed and number
+//! of steps always give the same placement.
 mod working_placement;
 
 use crate::objective::{Objective, moved_data};
@@ -9,15 +9,15 @@
 use std::cmp::Reverse;
 use working_placement::WorkingPlacement;
 
-/// Node sets that are tried for one volume in the first pass. Each has one more random exchange in the order of nodes by
-/// load than the one before.
+/// Maximum number of node sets that are tried to place one volume. Each is chosen after one more random exchange in the
+/// order of nodes by load than the one before.
 const MAX_TRIES: usize = 24;
-/// Rounds in which a volume that did not fit may evict others.
+/// Maximum number of repair rounds, in each of which one unplaced volume evicts others.
 const MAX_REPAIRS: usize = 40;
-/// Volumes that are evicted in such a round, at most.
+/// Maximum number of volumes that are evicted in one repair round.
 const EVICTIONS_PER_REPAIR: usize = 3;
 
-/// A xorshift generator (Marsaglia 2003). Only which steps are tried depends on it.
+/// A xorshift pseudorandom number generator (Marsaglia 2003), which determines which changes are tried.
 struct XorShift(u64);
 
 impl XorShift {
@@ -25,7 +25,7 @@
         XorShift(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    /// A number below `bound`.
+    /// Returns a random number below `bound`; 0 if `bound` is 0.
     fn below(&mut self, bound: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -34,7 +34,7 @@
     }
 }
 
-/// A volume that changes its nodes.
+/// A change of the nodes of one volume.
 struct Reassignment {
     volume: VolumeIndex,
     before: Vec<NodeIndex>,
@@ -42,6 +42,7 @@
 }
 
 impl Reassignment {
+    /// Creates a reassignment that replaces the node `source` by `target`.
     fn replace(
         volume: VolumeIndex,
         before: Vec<NodeIndex>,
@@ -61,17 +62,17 @@
     }
 }
 
-/// A placement that is built and improved step by step.
+/// A local search with its current placement.
 pub struct LocalSearch<'a> {
     problem: &'a Problem,
     working: WorkingPlacement<'a>,
-    /// Per node its part of the gain.
+    /// Gain at each node.
     node_gains: Vec<i128>,
     rng: XorShift,
 }
 
 impl<'a> LocalSearch<'a> {
-    /// A search with an empty placement.
+    /// Creates a search with an empty placement.
     #[must_use]
     pub fn new(problem: &'a Problem, seed: u64) -> Self {
         LocalSearch {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Places every volume, the hardest first. Returns false if some did not fit, which proves nothing.
+    /// Places all volumes, the hardest first. Returns whether all were placed; `false` does not prove that the problem is
+    /// infeasible.
     pub fn place_all(&mut self) -> bool {
         let mut order: Vec<VolumeIndex> = (0..self.problem.volumes.len()).collect();
         order.sort_by_key(|index| {
@@ -108,13 +110,13 @@
         unplaced.is_empty()
     }
 
-    /// Adopts the current placement of each volume where it is feasible; [`LocalSearch::place_missing`] places the others.
+    /// Places each volume on its current nodes where that is feasible. [`LocalSearch::place_missing`] places the others.
     pub fn start_from_current(&mut self) {
         for volume in 0..self.problem.volumes.len() {
             let current = &self.problem.volumes[volume].current_nodes;
             let is_current = |node: &NodeIndex| current.contains(&self.problem.nodes[*node].name);
             let nodes: Vec<NodeIndex> = (0..self.problem.nodes.len()).filter(is_current).collect();
-            // A volume without a reserve would be feasible on a lost node, which cannot serve it.
+            // A volume without a reserve fits on a lost node, but the node cannot serve it.
             let is_on_lost_node = nodes.iter().any(|node| self.problem.nodes[*node].is_lost());
             let is_complete = nodes.len() == self.problem.volumes[volume].spread;
             if !is_on_lost_node && is_complete && self.working.is_allowed(volume, &nodes) {
@@ -123,15 +125,15 @@
         }
     }
 
-    /// Places the volumes that have no nodes yet. Returns false if some could not be placed.
+    /// Places the volumes that have no nodes yet. Returns whether all were placed.
     pub fn place_missing(&mut self) -> bool {
         let unplaced = self.place_each(self.working.unassigned());
         self.update_node_gains();
         unplaced.is_empty()
     }
 
-    /// Tries this many random changes, each a new node for one volume or an exchange of two, and accepts those that
-    /// improve the placement (hill climbing).
+    /// Tries `attempts` random changes and accepts those that improve the placement (hill climbing). A change moves one
+    /// volume to another node or exchanges the nodes of two volumes.
     pub fn improve(&mut self, attempts: u64) {
         for _ in 0..attempts {
             if let Some(change) = self.random_change() {
@@ -140,19 +142,19 @@
         }
     }
 
-    /// The objective of the placement; none while a volume has no nodes.
+    /// Returns the objective value of the placement, or `None` while a volume has no nodes.
     #[must_use]
     pub fn objective(&self) -> Option<Objective> {
         self.working.objective()
     }
 
-    /// Whether the placement is feasible, computed from the problem and not from the incremental loads.
+    /// Returns whether the placement is feasible, computed anew rather than from the incrementally updated loads.
     #[must_use]
     pub fn is_feasible(&self) -> bool {
         self.working.is_feasible()
     }
 
-    /// Places volumes one by one. Returns those that did not fit.
+    /// Places volumes in the given order. Returns those that could not be placed.
     fn place_each(&mut self, volumes: Vec<VolumeIndex>) -> Vec<VolumeIndex> {
         volumes
             .into_iter()
@@ -160,6 +162,7 @@
             .collect()
     }
 
+    /// Places a volume on one of the least loaded node sets. Returns whether one was found that fits.
     fn place(&mut self, volume: VolumeIndex) -> bool {
         (0..MAX_TRIES).any(|exchanges| {
             let nodes = self.least_loaded_set(volume, exchanges);
@@ -167,7 +170,7 @@
         })
     }
 
-    /// Frees capacity by evicting random volumes, which are placed again after this one.
+    /// Frees capacity for `volume` by evicting random other volumes, which are added to `unplaced`.
     fn evict_others(&mut self, volume: VolumeIndex, unplaced: &mut Vec<VolumeIndex>) {
         for _ in 0..EVICTIONS_PER_REPAIR {
             let other = self.rng.below(self.problem.volumes.len());
@@ -178,8 +181,8 @@
         }
     }
 
-    /// The least loaded node set that a volume's own constraints allow, after so many random exchanges in the
-    /// order of nodes by load.
+    /// Returns the first node set in order of load that a volume's own constraints allow, after `exchanges` random
+    /// exchanges in that order.
     fn least_loaded_set(
         &mut self,
         volume: VolumeIndex,
@@ -217,8 +220,8 @@
             .collect();
     }
 
-    /// A random change: one volume moves from a node to another one, and every other time a volume of that node moves
-    /// the opposite way. None if the constraints do not allow it.
+    /// Returns a random change: one volume moves from a node to another one and, with a probability of one half, a volume
+    /// of the other node moves in the opposite direction. Returns `None` if the volumes' own constraints forbid it.
     fn random_change(&mut self) -> Option<Vec<Reassignment>> {
         let volume = self.rng.below(self.problem.volumes.len());
         let before = self.working.nodes_of(volume).to_vec();
@@ -255,21 +258,21 @@
             .then(|| vec![first, second])
     }
 
-    /// Makes a change, and reverts it unless the placement is feasible and better: more gain, or the same gain and less
-    /// data moved.
+    /// Applies a change and reverts it unless the placement is then feasible and better, that is, has more gain, or the
+    /// same gain and less data to move.
     fn accept_if_better(&mut self, change: &[Reassignment]) {
         for step in change {
             self.working.reassign(step.volume, &step.after);
         }
-        let mut touched: Vec<NodeIndex> = change
+        let mut affected: Vec<NodeIndex> = change
             .iter()
             .flat_map(|step| step.before.iter().chain(&step.after))
             .copied()
             .collect();
-        touched.sort_unstable();
-        touched.dedup();
-        let gain_before: i128 = touched.iter().map(|node| self.node_gains[*node]).sum();
-        let gains: Vec<i128> = touched
+        affected.sort_unstable();
+        affected.dedup();
+        let gain_before: i128 = affected.iter().map(|node| self.node_gains[*node]).sum();
+        let gains: Vec<i128> = affected
             .iter()
             .map(|node| self.working.node_gain(*node))
             .collect();
@@ -278,8 +281,8 @@
             .cmp(&gain_before)
             .then_with(|| self.saved_data(change).cmp(&0))
             .is_gt();
-        if is_better && self.working.fits_at(&touched) {
-            for (node, gain) in touched.into_iter().zip(gains) {
+        if is_better && self.working.fits_at(&affected) {
+            for (node, gain) in affected.into_iter().zip(gains) {
                 self.node_gains[node] = gain;
             }
         } else {
@@ -289,7 +292,7 @@
         }
     }
 
-    /// How much less data has to move after a change, scaled.
+    /// Returns by how much a change reduces the data that has to move, times [`SCALE`](crate::problem::SCALE).
     fn saved_data(&self, change: &[Reassignment]) -> i128 {
         let moved = |volume, nodes: &[NodeIndex]| moved_data(self.problem, volume, nodes) as i128;
         change
--- a/crates/placement/src/local_search/working_placement.rs
+++ b/crates/placement/src/local_search/working_placement.rs
@@ -1,4 +1,4 @@
-//! A placement that is built and changed volume by volume, with the loads that it leads to.
+//! Mutable placement that is changed one volume at a time, with incrementally updated loads.
 use crate::feasibility::{FULL_CAPACITY, fits};
 use crate::load_table::LoadTable;
 use crate::objective::{Objective, node_gain, objective};
@@ -6,18 +6,18 @@
 use crate::{NodeIndex, Placement, VolumeIndex, assignments};
 use std::cmp::Ordering;
 
-/// The nodes of each volume, and the loads that follow from them.
+/// A placement under construction, with the loads of its nodes.
 pub(super) struct WorkingPlacement<'a> {
     problem: &'a Problem,
-    /// Per volume its nodes; empty while it has none.
+    /// Nodes of each volume; empty while the volume is unassigned.
     placement: Placement,
-    /// Per node its volumes, in the order in which they were assigned.
+    /// Volumes of each node, in the order in which they were assigned.
     volumes_at: Vec<Vec<VolumeIndex>>,
     loads: LoadTable<'a>,
 }
 
 impl<'a> WorkingPlacement<'a> {
-    /// A placement in which no volume has nodes yet.
+    /// Creates a placement in which no volume is assigned.
     pub(super) fn new(problem: &'a Problem) -> Self {
         WorkingPlacement {
             problem,
@@ -27,30 +27,30 @@
         }
     }
 
-    /// The nodes of a volume; empty while it has none.
+    /// Returns the nodes of a volume; empty while the volume is unassigned.
     pub(super) fn nodes_of(&self, volume: VolumeIndex) -> &[NodeIndex] {
         &self.placement[volume]
     }
 
-    /// The volumes of a node, in the order in which they were assigned.
+    /// Returns the volumes of a node, in the order in which they were assigned.
     pub(super) fn volumes_at(&self, node: NodeIndex) -> &[VolumeIndex] {
         &self.volumes_at[node]
     }
 
-    /// Volumes without nodes, in ascending order.
+    /// Returns the unassigned volumes, in ascending order.
     pub(super) fn unassigned(&self) -> Vec<VolumeIndex> {
         (0..self.placement.len())
             .filter(|volume| self.placement[*volume].is_empty())
             .collect()
     }
 
-    /// The objective; none while a volume has no nodes.
+    /// Returns the objective value of the placement, or `None` while a volume is unassigned.
     pub(super) fn objective(&self) -> Option<Objective> {
         let is_complete = self.placement.iter().all(|nodes| !nodes.is_empty());
         is_complete.then(|| objective(self.problem, &self.placement))
     }
 
-    /// Whether it is feasible, computed from the problem and not from the incremental loads.
+    /// Returns whether the placement is feasible, computed anew rather than from the incrementally updated loads.
     pub(super) fn is_feasible(&self) -> bool {
         fits(
             self.problem,
@@ -60,12 +60,12 @@
         )
     }
 
-    /// Whether the loads of these nodes fit, now and in every loss.
+    /// Returns whether the loads of these nodes fit, now and after every loss.
     pub(super) fn fits_at(&self, nodes: &[NodeIndex]) -> bool {
         self.loads.fits_at(nodes)
     }
 
-    /// Gives a volume that has none its nodes.
+    /// Assigns nodes to an unassigned volume.
     pub(super) fn assign(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) {
         for node in &nodes {
             self.volumes_at[*node].push(volume);
@@ -74,7 +74,7 @@
         self.placement[volume] = nodes;
     }
 
-    /// Takes the nodes of a volume away.
+    /// Removes a volume from its nodes.
     pub(super) fn unassign(&mut self, volume: VolumeIndex) {
         let nodes = std::mem::take(&mut self.placement[volume]);
         self.loads.remove(volume, &nodes);
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Gives a volume other nodes.
+    /// Replaces the nodes of a volume.
     pub(super) fn reassign(&mut self, volume: VolumeIndex, nodes: &[NodeIndex]) {
         self.unassign(volume);
         self.assign(volume, nodes.to_vec());
     }
 
-    /// Gives a volume nodes if its reserve fits there; whether it does.
+    /// Assigns nodes to an unassigned volume if the loads of these nodes then fit. Returns whether they do.
     pub(super) fn assign_if_fitting(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) -> bool {
         self.assign(volume, nodes);
         let fits = self.loads.fits_at(&self.placement[volume]);
@@ -99,7 +99,8 @@
         fits
     }
 
-    /// Orders nodes: the least load for its capacity first, compared without division; lost nodes last.
+    /// Compares two nodes by load relative to capacity, without division. A lost node is greater than any other; of equal
+    /// ones the larger capacity, then the lower index is first.
     pub(super) fn compare_load(&self, a: NodeIndex, b: NodeIndex) -> Ordering {
         let capacity = |node: NodeIndex| self.problem.nodes[node].capacity;
         let load_of_a = self.loads.load(a) * i128::from(capacity(b).max(1));
@@ -117,8 +118,8 @@
         zone.is_none_or(|zone| self.problem.nodes[node].zone == *zone)
     }
 
-    /// Whether a volume's own constraints allow a node beside these, while the set still lacks others. It need not
-    /// yet be in two zones.
+    /// Returns whether a volume's own constraints allow adding `node` to the incomplete node set `nodes`. Unlike a
+    /// complete set, an incomplete one need not span two zones to survive a zone loss.
     pub(super) fn is_allowed_with(
         &self,
         volume: VolumeIndex,
@@ -131,18 +132,19 @@
             && (!self.problem.volumes[volume].distinct_zones || is_new_zone())
     }
 
-    /// Whether a volume's own constraints allow a node set.
+    /// Returns whether a volume's own constraints allow a complete node set.
     pub(super) fn is_allowed(&self, volume: VolumeIndex, nodes: &[NodeIndex]) -> bool {
-        let wanted = &self.problem.volumes[volume];
+        let definition = &self.problem.volumes[volume];
         let zones: Vec<usize> = nodes.iter().map(|node| self.loads.zone_of(*node)).collect();
-        let outlives_zone = wanted.reserved_rate == 0 || zones.iter().any(|zone| *zone != zones[0]);
+        let can_survive_zone_loss =
+            definition.reserved_rate == 0 || zones.iter().any(|zone| *zone != zones[0]);
         are_distinct(nodes)
             && nodes.iter().all(|node| self.is_in_zone(volume, *node))
-            && (!wanted.distinct_zones || are_distinct(&zones))
-            && (!wanted.survives_zone_loss || outlives_zone)
+            && (!definition.distinct_zones || are_distinct(&zones))
+            && (!definition.survives_zone_loss || can_survive_zone_loss)
     }
 
-    /// A node's part of the gain.
+    /// Returns the gain at a node, scaled as by [`crate::objective::gain`].
     pub(super) fn node_gain(&self, node: NodeIndex) -> i128 {
         let mut volumes = self.volumes_at[node].clone();
         volumes.sort_unstable();
--- a/crates/placement/src/migration.rs
+++ b/crates/placement/src/migration.rs
@@ -1,10 +1,11 @@
-//! The steps from the current placement to another one, a part of a volume at a time, so that no step violates a
-//! reserve, a loss that a volume must survive, or a zone constraint. A constraint that is violated now may stay violated
-//! until its step, and not more than now. The steps are input for whatever moves extents.
+//! Migration plans: steps from the current placement to another one, each moving one part of a volume, in an order in
+//! which no step violates a reserve, the survival of a loss, or a zone constraint. A constraint that the current placement
+//! violates may stay violated until the step that fixes it, but no step makes the violation worse. Planning moves no data;
+//! the steps are the input of the component that moves extents.
 //!
-//! - `selection`: the volumes that move within the data budget, and their order.
-//! - `plan`: the steps as a result.
-//! - `planner`: the steps of these volumes, one by one.
+//! - `selection`: selection and order of the volumes that move within the data budget.
+//! - `plan`: the resulting plan.
+//! - `planner`: search for a feasible order of the steps.
 mod plan;
 mod planner;
 mod selection;
@@ -16,7 +17,7 @@
 use planner::Planner;
 use selection::{Selection, select_volumes};
 
-/// The placement that data has now. A new volume has no nodes.
+/// Returns the current placement of all volumes. A new volume has no nodes.
 #[must_use]
 pub fn current_placement(problem: &Problem) -> Placement {
     let index_of = |name: &String| problem.nodes.iter().position(|node| node.name == *name);
@@ -27,11 +28,12 @@
         .collect()
 }
 
-/// Plans the steps from one placement to another, with at most `max_data` moved (times [`SCALE`]).
+/// Plans the steps from one placement to another. At most `max_data` data (times
+/// [`SCALE`](crate::problem::SCALE)) is copied; `None` is no limit.
 ///
-/// Volumes on lost nodes are first, then those whose moves gain most for their data; those for which the data budget is
-/// not enough are deferred. Where two volumes block each other, one takes a detour over a third node, which copies its
-/// data twice.
+/// Volumes on lost nodes move first, then those with the highest gain for the data they copy. Volumes that exceed the
+/// data budget are deferred. If two volumes block each other, one takes a detour over a third node, which copies its data
+/// twice.
 #[must_use]
 pub fn plan_migration(
     problem: &Problem,
--- a/crates/placement/src/migration/plan.rs
+++ b/crates/placement/src/migration/plan.rs
@@ -1,34 +1,34 @@
-//! The steps from one placement to another.
+//! Result of migration planning.
 use crate::{NodeIndex, Placement, VolumeIndex};
 
-/// One part of a volume moves from a node to another.
+/// A migration step: one part of a volume moves from one node to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MigrationStep {
-    /// The volume.
+    /// Volume that the part belongs to.
     pub volume: VolumeIndex,
-    /// The node that it moves from; none: the part is new.
+    /// Node that the part moves from; `None` for a new part.
     pub from: Option<NodeIndex>,
-    /// The node that it moves to; none: the part is removed.
+    /// Node that the part moves to; `None` for a part that is removed.
     pub to: Option<NodeIndex>,
-    /// Data that is copied, times [`SCALE`].
+    /// Amount of data that the step copies, times [`SCALE`](crate::problem::SCALE).
     pub data: u128,
 }
 
-/// Steps in an order in which none violates a constraint.
+/// Migration steps in an order in which no step violates a constraint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MigrationPlan {
-    /// The steps in their order.
+    /// Steps, in the order in which they are to be taken.
     pub steps: Vec<MigrationStep>,
-    /// The placement after the last step.
+    /// Placement after the last step.
     pub final_placement: Placement,
-    /// Volumes that do not move, since the data budget is not enough for them.
+    /// Volumes that do not move because they exceed the data budget.
     pub deferred: Vec<VolumeIndex>,
-    /// Volumes that no order of steps was found for. They may have moved in part.
+    /// Volumes for which no feasible order of steps was found. Some of their parts may have moved.
     pub blocked: Vec<VolumeIndex>,
 }
 
 impl MigrationPlan {
-    /// Data that all steps copy, times [`SCALE`].
+    /// Returns the amount of data that all steps copy, times [`SCALE`](crate::problem::SCALE).
     #[must_use]
     pub fn data(&self) -> u128 {
         self.steps.iter().map(|step| step.data).sum()
--- a/crates/placement/src/migration/planner.rs
+++ b/crates/placement/src/migration/planner.rs
@@ -1,4 +1,4 @@
-//! The steps of a migration, one by one: each is checked against all constraints.
+//! Search for the steps of a migration. Each step is checked against all constraints before it is taken.
 use super::plan::{MigrationPlan, MigrationStep};
 use super::selection::remaining_data;
 use crate::feasibility::excess;
@@ -6,14 +6,14 @@
 use crate::{Assignment, NodeIndex, Placement, VolumeIndex, assignments};
 use std::collections::BTreeSet;
 
-/// Takes steps from one placement towards another.
+/// A migration plan under construction, with the placement after the steps so far.
 pub(super) struct Planner<'a> {
     problem: &'a Problem,
     target: &'a Placement,
-    /// The placement after the steps so far.
+    /// Placement after the steps so far.
     placement: Placement,
     steps: Vec<MigrationStep>,
-    /// By how much the reserves exceed the capacities after these steps.
+    /// Excess of the reserves over the capacities after the steps so far; see [`excess`].
     excess: i128,
 }
 
@@ -28,12 +28,12 @@
         }
     }
 
-    /// How many steps were taken so far.
+    /// Returns the number of steps so far.
     pub(super) fn step_count(&self) -> usize {
         self.steps.len()
     }
 
-    /// The steps so far as a plan. Volumes that are not finished are blocked; they stay at an intermediate placement,
+    /// Returns the steps so far as a plan. `blocked` volumes, which are unfinished, stay at an intermediate placement,
     /// which is feasible.
     pub(super) fn into_plan(
         self,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Whether a volume is where it is to be.
+    /// Returns whether a volume is on its target nodes.
     pub(super) fn is_finished(&self, volume: VolumeIndex) -> bool {
         self.placement[volume] == self.target[volume]
     }
 
-    /// Nodes from which a volume still has to move.
+    /// Returns the nodes that a volume still has to leave.
     fn sources(&self, volume: VolumeIndex) -> Vec<NodeIndex> {
         let target = &self.target[volume];
         self.placement[volume]
@@ -63,7 +63,7 @@
             .collect()
     }
 
-    /// Nodes to which a volume still has to move.
+    /// Returns the target nodes that a volume is not on yet.
     fn destinations(&self, volume: VolumeIndex) -> Vec<NodeIndex> {
         let placed = &self.placement[volume];
         self.target[volume]
@@ -73,13 +73,13 @@
             .collect()
     }
 
-    /// Data of one part of a volume, times [`SCALE`].
+    /// Returns the amount of data in one part of a volume, times [`SCALE`].
     fn part_data(&self, volume: VolumeIndex) -> u128 {
         let volume = &self.problem.volumes[volume];
         u128::from(volume.size) * SCALE as u128 / volume.spread.max(1) as u128
     }
 
-    /// Data budget that is left for detours once all open volumes have moved directly.
+    /// Returns the data budget that is left for detours, times [`SCALE`], if all open volumes move directly.
     pub(super) fn spare_data(&self, max_data: u128, open: &[VolumeIndex]) -> u128 {
         let needed = |volume: &VolumeIndex| {
             remaining_data(
@@ -95,7 +95,8 @@
             .saturating_sub(open.iter().map(needed).sum())
     }
 
-    /// Takes a step if it violates no more constraints and exceeds no more capacity than before.
+    /// Takes a step unless it increases the number of violated constraints or the excess of the reserves. Returns whether
+    /// the step was taken.
     fn try_step(
         &mut self,
         volume: VolumeIndex,
@@ -132,7 +133,7 @@
         true
     }
 
-    /// Reverts the last step, which moved a part between two nodes.
+    /// Reverts the last step, which must be a move of a part of `volume` from `from` to `to`.
     fn undo_step(&mut self, volume: VolumeIndex, from: NodeIndex, to: NodeIndex) {
         self.steps.pop();
         let nodes = &mut self.placement[volume];
@@ -142,7 +143,7 @@
         self.excess = current_excess(self.problem, &self.placement);
     }
 
-    /// Takes one step of a volume towards its target. Returns false if none is possible now.
+    /// Takes one step of a volume towards its target. Returns whether one was possible.
     pub(super) fn advance(&mut self, volume: VolumeIndex) -> bool {
         let sources = self.sources(volume);
         let destinations = self.destinations(volume);
@@ -163,8 +164,8 @@
         })
     }
 
-    /// Moves a part of some open volume to a third node, the least data first, so that another volume can advance.
-    /// Returns false if no detour helps.
+    /// Moves a part of an open volume to a third node so that another volume can advance. Volumes with the least data per
+    /// part are tried first. Returns whether a detour was found.
     pub(super) fn detour(&mut self, open: &[VolumeIndex], spare_data: Option<u128>) -> bool {
         let is_affordable =
             |volume: &VolumeIndex| spare_data.is_none_or(|s| self.part_data(*volume) <= s);
@@ -175,6 +176,7 @@
             .any(|volume| self.detour_of(volume, open))
     }
 
+    /// Moves a part of `volume` to a third node so that another open volume can advance. Returns whether that succeeded.
     fn detour_of(&mut self, volume: VolumeIndex, open: &[VolumeIndex]) -> bool {
         for from in self.sources(volume) {
             for third in 0..self.problem.nodes.len() {
@@ -196,13 +198,13 @@
     }
 }
 
-/// How many of a volume's own constraints a node set violates: nodes outside its zone, and nodes beyond the first
-/// in one zone.
+/// Returns the number of violations of a volume's zone constraints by a node set: nodes outside the required zone, and
+/// nodes beyond the first one in a zone if zones must be distinct.
 fn violations(problem: &Problem, volume: VolumeIndex, nodes: &[NodeIndex]) -> usize {
-    let wanted = &problem.volumes[volume];
+    let definition = &problem.volumes[volume];
     let zone_of = |node: &NodeIndex| problem.nodes[*node].zone.as_str();
     let is_outside = |node: &&NodeIndex| {
-        wanted
+        definition
             .zone
             .as_deref()
             .is_some_and(|zone| zone != zone_of(node))
@@ -210,16 +212,16 @@
     let outside = nodes.iter().filter(is_outside).count();
     let zones: BTreeSet<&str> = nodes.iter().map(zone_of).collect();
     outside
-        + if wanted.distinct_zones {
+        + if definition.distinct_zones {
             nodes.len() - zones.len()
         } else {
             0
         }
 }
 
-/// By how much the reserves exceed the capacities, now and in every loss that must be survived.
+/// Returns the excess of the reserves of a placement over the capacities, see [`excess`].
 fn current_excess(problem: &Problem, placement: &Placement) -> i128 {
-    // A new volume counts once all its parts are placed: it is not served before.
+    // A new volume counts only once all its parts are placed, since it is not served before.
     let counts = |assignment: &Assignment| {
         let volume = &problem.volumes[assignment.volume];
         let is_complete = assignment.nodes.len() == volume.spread;
--- a/crates/placement/src/migration/selection.rs
+++ b/crates/placement/src/migration/selection.rs
@@ -1,21 +1,24 @@
-//! The volumes that move, in the order of their worth, within the data budget.
+//! Selection and order of the volumes that move within the data budget.
 use crate::objective::node_gain;
 use crate::problem::{Problem, SCALE};
 use crate::{NodeIndex, Placement, VolumeIndex, volumes_at};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// A volume that is to move. Derived order: by the fields from the first to the last.
+/// A volume whose target differs from its current placement. The derived order, by the fields from the first to the last,
+/// is the order of selection.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
+    /// Whether a part of the volume is on a lost node, or the volume has no nodes.
     has_lost_part: Reverse<bool>,
-    gain_for_data: Reverse<i128>,
+    /// Gain of the move divided by the data that it copies; 0 without a data budget.
+    gain_per_data: Reverse<i128>,
     volume: VolumeIndex,
-    /// Data that it has to copy, times [`SCALE`].
+    /// Amount of data that the move copies, times [`SCALE`].
     data: u128,
 }
 
-/// Data that a volume still has to copy, times [`SCALE`].
+/// Returns the amount of data that a move of a volume from `at` to `to` copies, times [`SCALE`].
 pub(super) fn remaining_data(
     problem: &Problem,
     volume: VolumeIndex,
@@ -26,17 +29,17 @@
     part * to.iter().filter(|node| !at.contains(node)).count() as u128
 }
 
-/// The volumes that move, and those that do not.
+/// Result of [`select_volumes`].
 #[derive(Default)]
 pub(super) struct Selection {
-    /// Those that move, the most worthwhile first.
+    /// Volumes that move, in order of selection.
     pub(super) open: Vec<VolumeIndex>,
-    /// Those for which the data budget is not enough.
+    /// Volumes that do not move because they exceed the data budget, in ascending order.
     pub(super) deferred: Vec<VolumeIndex>,
 }
 
-/// Selects the volumes that move: those with a part on a lost node first, then those whose moves gain most for their
-/// data, as far as the data budget goes.
+/// Selects the volumes that move within the data budget: those with a part on a lost node first, then those with the
+/// highest gain for the data they copy.
 pub(super) fn select_volumes(
     problem: &Problem,
     from: &Placement,
@@ -70,7 +73,7 @@
     is_data_limited: bool,
 ) -> Candidate {
     let data = remaining_data(problem, volume, &from[volume], &to[volume]);
-    // Without a data budget all volumes are selected, so that their order by gain does not matter.
+    // Without a data budget all volumes are selected, so the gain is not needed to order them.
     let gain = if is_data_limited {
         gain_of_move(problem, from, to, volume)
     } else {
@@ -80,19 +83,19 @@
     let has_lost_part = from[volume].is_empty() || from[volume].iter().any(is_lost);
     Candidate {
         has_lost_part: Reverse(has_lost_part),
-        gain_for_data: Reverse(gain / (data as i128 / SCALE).max(1)),
+        gain_per_data: Reverse(gain / (data as i128 / SCALE).max(1)),
         volume,
         data,
     }
 }
 
-/// What the move of one volume alone would gain, at the nodes that it touches.
+/// Returns by how much the move of one volume alone increases the gain, at its current and target nodes.
 fn gain_of_move(problem: &Problem, from: &Placement, to: &Placement, volume: VolumeIndex) -> i128 {
-    let touched: BTreeSet<NodeIndex> = from[volume].iter().chain(&to[volume]).copied().collect();
+    let affected: BTreeSet<NodeIndex> = from[volume].iter().chain(&to[volume]).copied().collect();
     let gain = |placement: &Placement| -> i128 {
         let gain_at =
             |node: &NodeIndex| node_gain(problem, placement, *node, &volumes_at(placement, *node));
-        touched.iter().map(gain_at).sum()
+        affected.iter().map(gain_at).sum()
     };
     let mut moved = from.clone();
     moved[volume].clone_from(&to[volume]);
--- a/crates/placement/src/node_sets.rs
+++ b/crates/placement/src/node_sets.rs
@@ -1,27 +1,28 @@
-//! The node sets that a volume's own constraints allow.
+//! Enumeration of the node sets that satisfy the zone constraints of a volume.
 use crate::constraint::{Constraint, ConstraintFilter};
 use crate::problem::{Node, Problem};
 use crate::{NodeIndex, VolumeIndex};
 
 impl Problem {
-    /// The node sets that a volume's own constraints allow, in ascending order. Constraints that the filter leaves
-    /// out do not count.
+    /// Returns the node sets of the size of a volume's spread that satisfy its zone constraints, in ascending order.
+    /// Inactive constraints are ignored.
     #[must_use]
     pub fn allowed_node_sets(
         &self,
         volume: VolumeIndex,
         is_active: ConstraintFilter,
     ) -> Vec<Vec<NodeIndex>> {
-        let wanted = &self.volumes[volume];
-        let zone = wanted
+        let definition = &self.volumes[volume];
+        let zone = definition
             .zone
             .as_deref()
             .filter(|_| is_active(Constraint::Zone(volume)));
-        let distinct_zones = wanted.distinct_zones && is_active(Constraint::DistinctZones(volume));
+        let distinct_zones =
+            definition.distinct_zones && is_active(Constraint::DistinctZones(volume));
         let mut sets = Vec::new();
         let mut enumeration = NodeSetEnumeration {
             nodes: &self.nodes,
-            spread: wanted.spread,
+            spread: definition.spread,
             zone,
             distinct_zones,
         };
@@ -30,16 +31,17 @@
     }
 }
 
-/// Enumerates the node sets of a size, with the zones that they may be in.
+/// Enumerates the node sets of `spread` nodes that satisfy the zone constraints.
 struct NodeSetEnumeration<'a> {
     nodes: &'a [Node],
     spread: usize,
+    /// Zone that all nodes must be in; `None` allows every zone.
     zone: Option<&'a str>,
     distinct_zones: bool,
 }
 
 impl NodeSetEnumeration<'_> {
-    /// Adds to `sets` all sets that begin with `set` and go on with nodes from `first` on.
+    /// Appends to `sets` all sets that consist of `set` and further nodes with an index of at least `first`.
     fn extend(
         &mut self,
         first: NodeIndex,
@@ -51,7 +53,7 @@
         }
         for node in first..self.nodes.len() {
             let zone = &self.nodes[node].zone;
-            let is_in_zone = self.zone.is_none_or(|wanted| wanted == zone);
+            let is_in_zone = self.zone.is_none_or(|required_zone| required_zone == zone);
             let is_new_zone = || set.iter().all(|other| self.nodes[*other].zone != *zone);
             if is_in_zone && (!self.distinct_zones || is_new_zone()) {
                 set.push(node);
--- a/crates/placement/src/objective.rs
+++ b/crates/placement/src/objective.rs
@@ -1,41 +1,42 @@
-//! The objective: how good a placement is.
+//! The objective function, which ranks feasible placements.
 use crate::problem::{Problem, SCALE};
 use crate::{NodeIndex, Placement, VolumeIndex, volumes_at};
 use std::cmp::Reverse;
 
-/// Gain of a unit within a volume's reserve, in hundredths of its priority factor.
+/// Gain of a unit served from the volume's reserve, in hundredths of the volume's priority factor.
 pub(crate) const RESERVE_GAIN: i128 = 100;
-/// Gain of a unit within a volume's share of what the reserves leave free.
+/// Gain of a unit served from the volume's share of unreserved capacity, in hundredths of its priority factor.
 pub(crate) const SHARE_GAIN: i128 = 35;
-/// Gain of any other unit.
+/// Gain of a unit served beyond reserve and share, in hundredths of the volume's priority factor.
 pub(crate) const REST_GAIN: i128 = 10;
-/// Shares are parts of nine tenths of what the reserves leave free.
+/// Numerator of the fraction of unreserved capacity that is divided into shares (9/10).
 pub(crate) const SHARED_NUMERATOR: i128 = 9;
+/// Denominator of the fraction of unreserved capacity that is divided into shares (9/10).
 pub(crate) const SHARED_DENOMINATOR: i128 = 10;
 
-/// The objective value of a placement; the greater the better.
+/// Objective value of a placement. A greater value is better.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Objective {
-    /// See [`gain`].
+    /// Gain when all volumes surge at once, scaled as by [`gain`].
     pub gain: i128,
-    /// Cost of the nodes that are used.
+    /// Total cost of the nodes that hold at least one volume.
     pub cost: Reverse<u128>,
-    /// Data that has to move, times [`SCALE`].
+    /// Amount of data that has to move, times [`SCALE`].
     pub moved_data: Reverse<u128>,
-    /// The placement itself: among equals the first one in order of names is the best.
+    /// The placement; breaks ties, the first one in order of names being the best.
     pub placement: Reverse<Placement>,
 }
 
-/// A volume's part of a node's capacity, where it differs from the problem.
+/// Reserve and weight of a volume that replace those of the problem.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VolumeShare {
-    /// The reserved rate, in thousandths of a unit a second.
+    /// Reserved rate, in thousandths of a unit per second.
     pub reserved_rate: u64,
-    /// Weight of the share of what reserves leave free.
+    /// Weight of the volume when the unreserved capacity of a node is shared.
     pub weight: u64,
 }
 
-/// The objective value of a placement.
+/// Returns the objective value of a placement.
 #[must_use]
 pub fn objective(problem: &Problem, placement: &Placement) -> Objective {
     let moved = placement
@@ -50,17 +51,18 @@
     }
 }
 
-/// Gain a second when all volumes surge at once, times [`SCALE`], a thousand for rates, a thousand for priority
-/// factors and a hundred for the parts of a gain. Each node serves the reserves in full, then shares by weight of
-/// nine tenths of what the reserves leave free, then from what is still free in order of the priority factor.
+/// Returns the gain per second when all volumes surge at once, times [`SCALE`], times 1,000 for rates, 1,000 for
+/// priority factors and 100 for the gain of a unit. Each node serves the reserves in full, then divides nine tenths of
+/// its unreserved capacity into shares by weight, then serves from the remaining capacity in descending order of the
+/// priority factor.
 #[must_use]
 pub fn gain(problem: &Problem, placement: &Placement) -> i128 {
     let gain_at = |node| node_gain(problem, placement, node, &volumes_at(placement, node));
     (0..problem.nodes.len()).map(gain_at).sum()
 }
 
-/// The gain, as in [`gain`], with other shares and another demand than the surge. `demand`: for each volume, in
-/// thousandths of a unit a second.
+/// Returns the gain, scaled as by [`gain`], with `shares` in place of the reserves and weights of the problem and
+/// `demand` in place of the surge rates. `demand` has one entry per volume, in thousandths of a unit per second.
 #[must_use]
 pub fn gain_at_demand(
     problem: &Problem,
@@ -77,13 +79,13 @@
     gain(&changed, placement)
 }
 
-/// Demand of a volume beyond its reserve and its share.
+/// Demand of a volume at one node beyond its reserve and its share.
 struct Unserved {
     priority_factor: i128,
     rate: i128,
 }
 
-/// The part of the gain that one node gives `volumes`, the volumes that are placed there.
+/// Returns the gain at one node, scaled as by [`gain`]. `volumes` are the volumes that are placed on the node.
 pub(crate) fn node_gain(
     problem: &Problem,
     placement: &Placement,
@@ -92,7 +94,7 @@
 ) -> i128 {
     let volume = |index: VolumeIndex| &problem.volumes[index];
     let per_node = |index: VolumeIndex, rate: u64| scaled_rate_per_node(placement, index, rate);
-    // An unused part of a reserve is free for others.
+    // Reserved capacity that its volume does not use is free for other volumes.
     let used_reserve = |index| {
         per_node(
             index,
@@ -136,13 +138,13 @@
     gain
 }
 
-/// A volume's rate at each of its nodes, scaled.
+/// Returns the rate at each node of a volume that has `rate` over all its nodes, times [`SCALE`].
 pub(crate) fn scaled_rate_per_node(placement: &Placement, volume: VolumeIndex, rate: u64) -> i128 {
     i128::from(rate) * SCALE / placement[volume].len() as i128
 }
 
-/// Data that has to move to place a volume on these nodes, times [`SCALE`]: an even part for each node that it is
-/// not on now.
+/// Returns the amount of data that has to move to place a volume on `nodes`, times [`SCALE`]: an equal part for each
+/// node that does not hold the volume now.
 #[must_use]
 pub fn moved_data(problem: &Problem, volume: VolumeIndex, nodes: &[NodeIndex]) -> u128 {
     let volume = &problem.volumes[volume];
@@ -151,7 +153,7 @@
     u128::from(volume.size) * SCALE as u128 / nodes.len() as u128 * new_nodes as u128
 }
 
-/// Cost of using these nodes, each counted once.
+/// Returns the total cost of the nodes in `used`, counting each node once.
 pub fn cost(problem: &Problem, used: impl Iterator<Item = NodeIndex>) -> u128 {
     let mut nodes: Vec<NodeIndex> = used.collect();
     nodes.sort_unstable();
--- a/crates/placement/src/problem.rs
+++ b/crates/placement/src/problem.rs
@@ -1,85 +1,86 @@
-//! The problem: nodes, volumes and hosts. Rates are integers in thousandths of a unit a second, so that sums
+//! The placement problem: nodes, volumes and hosts. Rates are integers in thousandths of a unit per second, so that sums
 //! are exact.
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Largest rate, priority factor, cost and size: sums over thousands of volumes fit into 128 bits.
+/// Largest rate, capacity, weight, priority factor, cost or size; sums over thousands of volumes fit into 128 bits.
 pub const MAX_NUMBER: u64 = 1_000_000_000_000;
-/// Nodes that one volume can be spread over, at most.
+/// Maximum number of nodes that one volume can be spread over.
 pub const MAX_SPREAD: usize = 8;
-/// Rates are scaled by the least common multiple of 1 to [`MAX_SPREAD`], so that each spread divides them.
+/// Scale factor of rates: the least common multiple of 1 to [`MAX_SPREAD`], so that a scaled rate is divisible by every
+/// spread.
 pub const SCALE: i128 = 840;
 
 /// A node that volumes can be placed on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// The zone that it is in: nodes of one zone can be lost together.
+    /// Zone of the node; all nodes of a zone can be lost together.
     pub zone: String,
-    /// The rate that it can serve, in thousandths of a unit a second; with 0 the node [is lost](Node::is_lost).
+    /// Rate that the node can serve, in thousandths of a unit per second; a node with 0 [is lost](Node::is_lost).
     pub capacity: u64,
-    /// Cost of using it at all, in any unit.
+    /// Cost of placing any volume on the node, in a unit common to all nodes.
     pub cost: u64,
 }
 
 impl Node {
-    /// Whether the node is lost: without capacity, so that nothing may stay on it.
+    /// Returns whether the node is lost, that is, has no capacity. No volume may stay on a lost node.
     #[must_use]
     pub fn is_lost(&self) -> bool {
         self.capacity == 0
     }
 }
 
-/// A volume to be placed; rates in thousandths of a unit a second.
+/// A volume to be placed. All rates are in thousandths of a unit per second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Volume {
-    /// Its name.
+    /// Name of the volume.
     pub name: String,
-    /// The reserved rate.
+    /// Reserved rate of the volume (its reserve).
     pub reserved_rate: u64,
-    /// The reserve may be raised up to this; a value below the reserve leaves it fixed.
+    /// Highest rate that the reserve may be raised to; a value below the reserve leaves the reserve fixed.
     pub max_reserved_rate: u64,
-    /// What it may use at most, over all hosts; 0: no limit.
+    /// Maximum rate of the volume over all hosts; 0 means no limit.
     pub rate_limit: u64,
-    /// Its demand in a surge, its reserve included.
+    /// Demand of the volume in a surge, including the reserve.
     pub surge_rate: u64,
-    /// Weight of its share of what reserves leave free at a node.
+    /// Weight of the volume when the unreserved capacity of a node is shared.
     pub weight: u64,
-    /// Factor on its gain, in thousandths.
+    /// Factor on the gain of the volume, in thousandths.
     pub priority_factor: u64,
-    /// Number of nodes that its data is spread over evenly.
+    /// Number of nodes that the volume's data is spread over evenly.
     pub spread: usize,
-    /// Its reserve must fit with any one node lost.
+    /// Whether the reserve must still fit after the loss of any one node.
     pub survives_node_loss: bool,
-    /// Its reserve must fit with any one zone lost.
+    /// Whether the reserve must still fit after the loss of any one zone.
     pub survives_zone_loss: bool,
-    /// No two of its nodes may be in one zone.
+    /// Whether all nodes of the volume must be in different zones.
     pub distinct_zones: bool,
-    /// All its nodes must be in this zone.
+    /// Zone that all nodes of the volume must be in; `None` allows every zone.
     pub zone: Option<String>,
-    /// Size of its data, in any unit.
+    /// Size of the volume's data, in a unit common to all volumes.
     pub size: u64,
-    /// Names of the nodes that its data is on now; empty for a new volume.
+    /// Names of the nodes that hold the volume's data now; empty for a new volume.
     pub current_nodes: BTreeSet<String>,
 }
 
-/// A host. Hosts do not matter for a placement; limits are divided over them.
+/// A host that sends I/O to volumes. Placement does not depend on hosts; rate limits are divided among them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// The rate that it sends to each volume, by name of the volume.
+    /// Rate that the host sends to each volume, in thousandths of a unit per second, by volume name.
     pub sends: BTreeMap<String, u64>,
 }
 
-/// An error in a problem.
+/// A validation error of a problem.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{name}`: expected {kind}")]
 pub struct ProblemError {
-    /// Name of the node or volume.
+    /// Name of the invalid node or volume.
     pub name: String,
-    /// The error.
+    /// What is wrong with the node or volume.
     pub kind: ProblemErrorKind,
 }
 
@@ -92,52 +93,52 @@
     }
 }
 
-/// An error of a node or volume; the text states what was expected.
+/// Kind of a validation error of a node or volume. The text states what is expected and completes "expected …".
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProblemErrorKind {
-    /// Two nodes have the name.
-    #[error("one node of this name")]
+    /// Two nodes have the same name.
+    #[error("unique node names")]
     DuplicateNode,
-    /// Two volumes have the name.
-    #[error("one volume of this name")]
+    /// Two volumes have the same name.
+    #[error("unique volume names")]
     DuplicateVolume,
     /// A number is above [`MAX_NUMBER`].
-    #[error("numbers up to a million million")]
+    #[error("numbers of at most 10^12")]
     NumberTooLarge,
     /// The spread is 0 or above [`MAX_SPREAD`].
     #[error("a spread of 1 to 8 nodes")]
     InvalidSpread,
-    /// The reserve is above the demand in a surge.
-    #[error("a surge of at least the reserve")]
+    /// The reserved rate is above the surge rate.
+    #[error("a surge rate of at least the reserved rate")]
     SurgeBelowReserve,
-    /// A volume on one node cannot survive the loss of it.
-    #[error("a spread of at least 2, since it survives the loss of a node")]
+    /// A volume that must survive the loss of a node is spread over one node only.
+    #[error("a spread of at least 2 nodes for a volume that survives the loss of a node")]
     SpreadTooSmallToSurvive,
-    /// No node is in the zone.
-    #[error("a zone that some node is in")]
+    /// No node is in the zone that the volume must be in.
+    #[error("a volume whose zone has at least one node")]
     UnknownZone,
-    /// The volume's data is on a node that is not in the problem.
-    #[error("to lie on nodes of the problem, not on `{0}`")]
+    /// The volume's data is on a node that the problem does not define.
+    #[error("volume data on defined nodes only, not on `{0}`")]
     UnknownCurrentNode(String),
 }
 
-/// A checked problem; nodes and volumes are in order of their names.
+/// A validated problem. Nodes and volumes are sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problem {
-    /// Nodes, in order of their names.
+    /// Nodes, sorted by name.
     pub nodes: Vec<Node>,
-    /// Volumes, in order of their names.
+    /// Volumes, sorted by name.
     pub volumes: Vec<Volume>,
-    /// Hosts that limits are divided over.
+    /// Hosts that rate limits are divided among.
     pub hosts: Vec<Host>,
 }
 
 impl Problem {
-    /// Checks a problem without hosts and puts it in order.
+    /// Validates a problem without hosts and sorts its nodes and volumes by name.
     ///
     /// # Errors
     ///
-    /// All errors in it.
+    /// The problem is invalid. Every validation error is returned, not only the first.
     pub fn new(
         mut nodes: Vec<Node>,
         mut volumes: Vec<Volume>,
@@ -159,7 +160,7 @@
     }
 }
 
-/// Names that occur twice. Nodes and volumes are in order of their names.
+/// Returns an error for each duplicate name. Nodes and volumes must be sorted by name.
 fn check_names(nodes: &[Node], volumes: &[Volume]) -> Vec<ProblemError> {
     let node_pairs = nodes.windows(2).filter(|pair| pair[0].name == pair[1].name);
     let volume_pairs = volumes
@@ -172,7 +173,7 @@
     duplicate_nodes.chain(duplicate_volumes).collect()
 }
 
-/// What is wrong with each node by itself.
+/// Returns the errors of individual nodes.
 fn check_nodes(nodes: &[Node]) -> Vec<ProblemError> {
     nodes
         .iter()
@@ -181,7 +182,7 @@
         .collect()
 }
 
-/// What is wrong with each volume by itself and with the nodes that it refers to.
+/// Returns the errors of individual volumes and of their references to zones and nodes.
 fn check_volumes(volumes: &[Volume], nodes: &[Node]) -> Vec<ProblemError> {
     let errors_of = |volume: &Volume| {
         let kinds = volume.check(nodes);
@@ -192,6 +193,7 @@
 }
 
 impl Volume {
+    /// Returns the errors of the volume and of its references to `nodes`.
     fn check(&self, nodes: &[Node]) -> Vec<ProblemErrorKind> {
         let numbers = [
             self.reserved_rate,
--- a/crates/placement/src/tuning.rs
+++ b/crates/placement/src/tuning.rs
@@ -1,5 +1,5 @@
-//! Weights and reserves that a problem leaves open, chosen for a fixed placement. A choice is accepted only if it
-//! increases the gain; otherwise the given numbers stay.
+//! Choice of the weights and reserves that a problem leaves open, for a fixed placement. Chosen weights replace the original
+//! ones only if they increase the gain.
 use crate::constraint::Constraint;
 use crate::feasibility::{FULL_CAPACITY, fits};
 use crate::objective::{SHARED_DENOMINATOR, SHARED_NUMERATOR, gain, scaled_rate_per_node};
@@ -7,28 +7,28 @@
 use crate::{Placement, VolumeIndex, assignments, volumes_at};
 use std::cmp::Reverse;
 
-/// Weights that are chosen are between 1 and this: fine enough for shares of a thousandth.
+/// Largest weight that is chosen; weights from 1 to 1,000 express shares to a thousandth.
 pub const MAX_WEIGHT: u64 = 1_000;
-/// Rounds of the hill climb, at most.
+/// Maximum number of rounds of the hill climb.
 const MAX_ROUNDS: usize = 8;
-/// Weights that the hill climb may try, times volumes: each try costs a pass over all nodes, so large problems
-/// keep the first guess after fewer rounds.
+/// Maximum number of rounds of the hill climb times the square of the number of volumes. Each evaluation of a weight is a
+/// pass over all nodes, so the hill climb has fewer rounds for large problems.
 const CLIMB_BUDGET: usize = 20_000;
 
-/// Weights and reserves for all volumes.
+/// Weights and reserves chosen for all volumes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// The weight of each volume.
+    /// Weight of each volume.
     pub weights: Vec<u64>,
-    /// The reserve of each volume, in thousandths of a unit a second.
+    /// Reserve of each volume, in thousandths of a unit per second.
     pub reserved_rates: Vec<u64>,
-    /// Gain with them, see [`gain`].
+    /// Gain with the chosen weights and reserves, scaled as by [`gain`].
     pub gain: i128,
-    /// Gain with the given weights and reserves.
+    /// Gain with the weights and reserves of the problem, scaled as by [`gain`].
     pub gain_before: i128,
 }
 
-/// Chooses reserves up to what each volume may have at most, then weights.
+/// Raises reserves as far as each volume's maximum and the capacities allow, then chooses weights.
 #[must_use]
 pub fn tune(problem: &Problem, placement: &Placement) -> Tuning {
     let gain_before = gain(problem, placement);
@@ -40,14 +40,14 @@
         }
         gain(&changed, placement)
     };
-    let given = raised.volumes.iter().map(|volume| volume.weight).collect();
-    let given = WeightChoice::new(given, &gain_with);
-    let guess = WeightChoice::new(guess_weights(&raised, placement), &gain_with);
-    let climbed = hill_climb(guess, &gain_with);
-    let best = if climbed.gain > given.gain {
-        climbed
+    let original = raised.volumes.iter().map(|volume| volume.weight).collect();
+    let original = WeightChoice::new(original, &gain_with);
+    let initial = WeightChoice::new(initial_weights(&raised, placement), &gain_with);
+    let improved = hill_climb(initial, &gain_with);
+    let best = if improved.gain > original.gain {
+        improved
     } else {
-        given
+        original
     };
     Tuning {
         weights: best.weights,
@@ -61,12 +61,12 @@
     }
 }
 
-/// Raises reserves, the highest priority factor first, each by as much as fits now and in every loss.
+/// Raises each reserve as far as it fits now and after every loss, in descending order of the priority factor.
 fn raise_reserves(problem: &Problem, placement: &Placement) -> Problem {
     let mut raised = problem.clone();
     let assignments = assignments(placement);
     let mut order: Vec<VolumeIndex> = (0..problem.volumes.len()).collect();
-    order.sort_by_key(|index| by_priority(problem, *index));
+    order.sort_by_key(|index| priority_order(problem, *index));
     for index in order {
         let Volume {
             reserved_rate,
@@ -77,12 +77,12 @@
         let mut fitting = reserved_rate;
         let mut highest = max_reserved_rate.min(surge_rate).max(reserved_rate);
         while fitting < highest {
-            let middle = fitting + (highest - fitting).div_ceil(2);
-            raised.volumes[index].reserved_rate = middle;
+            let candidate = fitting + (highest - fitting).div_ceil(2);
+            raised.volumes[index].reserved_rate = candidate;
             if fits(&raised, &assignments, &|_: Constraint| true, FULL_CAPACITY) {
-                fitting = middle;
+                fitting = candidate;
             } else {
-                highest = middle - 1;
+                highest = candidate - 1;
             }
         }
         raised.volumes[index].reserved_rate = fitting;
@@ -90,14 +90,14 @@
     raised
 }
 
-/// Sorts volumes by falling priority factor.
-fn by_priority(problem: &Problem, index: VolumeIndex) -> (Reverse<u64>, VolumeIndex) {
+/// Returns the sort key of a volume for a descending order of the priority factor.
+fn priority_order(problem: &Problem, index: VolumeIndex) -> (Reverse<u64>, VolumeIndex) {
     (Reverse(problem.volumes[index].priority_factor), index)
 }
 
-/// Weights in proportion to what each volume would get if the shared capacity of every node went to the demand of
-/// the highest priority factor first.
-fn guess_weights(problem: &Problem, placement: &Placement) -> Vec<u64> {
+/// Returns weights in proportion to the rate that each volume would get if every node gave its shared capacity to the
+/// demand with the highest priority factor first.
+fn initial_weights(problem: &Problem, placement: &Placement) -> Vec<u64> {
     let mut served = vec![0_i128; problem.volumes.len()];
     for node in 0..problem.nodes.len() {
         let mut volumes = volumes_at(placement, node);
@@ -107,7 +107,7 @@
         let reserved: i128 = volumes.iter().map(reserve_at_node).sum();
         let spare = (i128::from(problem.nodes[node].capacity) * SCALE - reserved).max(0);
         let mut shared = spare * SHARED_NUMERATOR / SHARED_DENOMINATOR;
-        volumes.sort_by_key(|index| by_priority(problem, *index));
+        volumes.sort_by_key(|index| priority_order(problem, *index));
         for index in volumes {
             let volume = &problem.volumes[index];
             let beyond_reserve =
@@ -117,15 +117,15 @@
             shared -= from_share;
         }
     }
-    let most = served.iter().copied().max().unwrap_or(0).max(1);
-    // No volume is left without a share: the one of the highest priority factor may have no demand for a while.
+    let max_served = served.iter().copied().max().unwrap_or(0).max(1);
+    // Every volume has a weight of at least 1, to get a share while volumes with a higher priority factor are idle.
     served
         .iter()
-        .map(|s| ((s * i128::from(MAX_WEIGHT) / most) as u64).max(1))
+        .map(|s| ((s * i128::from(MAX_WEIGHT) / max_served) as u64).max(1))
         .collect()
 }
 
-/// Weights, and the gain that they lead to.
+/// Weights of all volumes, with the gain that results from them.
 struct WeightChoice {
     gain: i128,
     weights: Vec<u64>,
@@ -140,8 +140,8 @@
     }
 }
 
-/// Doubles and halves one weight after another while that gains. A volume may be on nodes that call for different
-/// weights of it, which the first guess does not see.
+/// Improves weights by hill climbing: doubles and halves each weight in turn and keeps what increases the gain. The start
+/// does not account for a volume whose nodes would each need a different weight of it.
 fn hill_climb(start: WeightChoice, gain_with: &dyn Fn(&[u64]) -> i128) -> WeightChoice {
     let volumes = start.weights.len();
     let rounds = (CLIMB_BUDGET / (volumes * volumes).max(1)).min(MAX_ROUNDS);
--- a/crates/placement/src/upper_bound.rs
+++ b/crates/placement/src/upper_bound.rs
@@ -1,10 +1,11 @@
-//! An upper bound on the gain of any placement: all nodes are treated as one.
+//! Upper bound on the gain of any placement, computed by treating all nodes as one node with their total capacity.
 use crate::objective::{RESERVE_GAIN, REST_GAIN, SHARE_GAIN, SHARED_DENOMINATOR, SHARED_NUMERATOR};
 use crate::problem::{Problem, SCALE};
 
-/// The most gain that any placement can have, scaled as [`crate::objective::gain`] is. Reserves gain in full. The
-/// remaining capacity goes to the demand of the highest priority factor: nine tenths of it at most as shares, since
-/// no node gives more than nine tenths of its own, and the rest after it.
+/// Returns an upper bound on the gain of any placement, scaled as by [`crate::objective::gain`]. Reserves gain in full.
+/// The unreserved capacity goes to the demand with the highest priority factor first. At most nine tenths of it count as
+/// shares, since no node shares more than nine tenths of its unreserved capacity; the rest counts as demand beyond the
+/// shares.
 #[must_use]
 pub fn gain_upper_bound(problem: &Problem) -> i128 {
     let scaled = |rate: u64| i128::from(rate) * SCALE;
@@ -15,7 +16,7 @@
         .sum();
     let capacity: i128 = problem.nodes.iter().map(|node| scaled(node.capacity)).sum();
     let mut free = (capacity - reserved).max(0);
-    // Shares are rounded down at each node, so rounding up here keeps it a bound.
+    // Nodes round shares down; rounding up here keeps the result an upper bound.
     let mut shared = (free * SHARED_NUMERATOR + SHARED_DENOMINATOR - 1) / SHARED_DENOMINATOR;
 
     let reserve_gain = problem
--- a/crates/placement/tests/branch_and_bound.rs
+++ b/crates/placement/tests/branch_and_bound.rs
@@ -1,9 +1,10 @@
-//! The exact search prunes what differs by names only.
+//! Guards against an exact search whose number of steps grows with the permutations of identical volumes: it must not
+//! search placements that differ only in which of these volumes is on which node.
 use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
 use mallowseam_placement::problem::{Node, Problem, Volume};
 
 #[test]
-fn identical_volumes_are_not_exchanged() {
+fn placements_that_differ_only_in_volume_names_are_pruned() {
     let node = |name: &str, capacity| Node {
         name: name.into(),
         zone: "z".into(),
@@ -22,12 +23,15 @@
         ..Volume::default()
     };
     let problem = Problem::new(nodes, (0..20).map(volume).collect()).expect("valid");
-    // Three to the power of twenty placements, and 231 that differ by more than names.
+    // 3^20 placements, of which 231 differ in more than the names of volumes.
     let SolveOutcome::Optimal(best) = solve(&problem, 100_000) else {
-        panic!("not proven within 100,000 steps")
+        panic!("optimality was not proven within 100,000 steps")
     };
-    assert!(best.placement.0.is_sorted(), "the first in order of names");
-    // One unit more than all nodes can serve, and the proof is as short.
+    assert!(
+        best.placement.0.is_sorted(),
+        "the optimum must be the first of equal placements in order of names"
+    );
+    // With slightly larger reserves the volumes do not fit, which must be proven within the same number of steps.
     let larger = |volume: &Volume| Volume {
         reserved_rate: 3_601,
         ..volume.clone()
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! Problems that several tests use.
+//! Random placement problems that several tests use.
 use mallowseam_placement::problem::{Node, Problem, Volume};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A random problem: nodes of two kinds in four zones, volumes of three plans, two thirds of them with a reserve.
+/// Returns a random problem: nodes of two capacities in four zones, and volumes of three plans, of which two have a
+/// reserve.
 pub fn random_problem(volumes: usize, nodes: usize, seed: u64) -> Problem {
     let rng = &mut Pcg64Mcg::seed_from_u64(seed);
     let node = |index: usize| Node {
--- a/crates/placement/tests/local_search.rs
+++ b/crates/placement/tests/local_search.rs
@@ -1,4 +1,5 @@
-//! Large problems: a placement always fits, is never above the upper bound, and is reproducible.
+//! Local search on large problems: every placement is feasible, its gain is at most the upper bound, and it is
+//! reproducible.
 mod common;
 
 use common::random_problem;
@@ -12,7 +13,7 @@
 use mallowseam_placement::upper_bound::gain_upper_bound;
 use std::time::Instant;
 
-/// A problem in which all volumes were placed and one of twenty nodes has been lost since.
+/// Returns a problem with the current placement of all volumes after one of 20 nodes was removed.
 fn problem_after_node_loss() -> Problem {
     const LOST: &str = "n005";
     let problem = random_problem(200, 20, 3);
@@ -26,38 +27,44 @@
         .filter(|node| node.name != LOST)
         .cloned()
         .collect();
-    let volumes = problem.volumes.iter().zip(&placement).map(|(volume, set)| {
-        let names = set.iter().map(|node| problem.nodes[*node].name.clone());
-        Volume {
-            current_nodes: names.filter(|name| name != LOST).collect(),
-            ..volume.clone()
-        }
-    });
+    let volumes = problem
+        .volumes
+        .iter()
+        .zip(&placement)
+        .map(|(volume, node_set)| {
+            let names = node_set
+                .iter()
+                .map(|node| problem.nodes[*node].name.clone());
+            Volume {
+                current_nodes: names.filter(|name| name != LOST).collect(),
+                ..volume.clone()
+            }
+        });
     Problem::new(nodes, volumes.collect()).expect("valid")
 }
 
 #[test]
-fn a_placement_fits_and_stays_below_the_bound_as_it_improves() {
+fn every_improvement_is_feasible_and_at_most_the_upper_bound() {
     for seed in 0..5 {
         let problem = random_problem(100, 12, seed);
         let mut search = LocalSearch::new(&problem, seed);
         assert!(search.place_all(), "seed {seed}");
-        let mut last = search.objective().expect("complete");
+        let mut previous = search.objective().expect("complete");
         for _ in 0..5 {
             search.improve(2_000);
             assert!(search.is_feasible(), "seed {seed}");
-            let now = search.objective().expect("complete");
+            let current = search.objective().expect("complete");
             assert!(
-                now.gain >= last.gain && now.gain <= gain_upper_bound(&problem),
+                current.gain >= previous.gain && current.gain <= gain_upper_bound(&problem),
                 "seed {seed}"
             );
-            last = now;
+            previous = current;
         }
     }
 }
 
 #[test]
-fn the_same_seed_and_steps_lead_to_the_same_placement() {
+fn the_same_seed_and_number_of_steps_give_the_same_placement() {
     let problem = random_problem(60, 8, 1);
     let run = || {
         let mut search = LocalSearch::new(&problem, 7);
@@ -69,7 +76,7 @@
 }
 
 #[test]
-fn small_problems_are_bounded_and_local_search_comes_near_the_optimum() {
+fn local_search_gains_at_least_97_percent_of_the_optimum_of_small_problems() {
     let mut compared = 0;
     for seed in 0..30 {
         let problem = random_problem(5, 4, seed);
@@ -86,11 +93,11 @@
             compared += 1;
         }
     }
-    assert!(compared > 10, "{compared}");
+    assert!(compared > 10, "only {compared} problems were compared");
 }
 
 #[test]
-fn the_loss_of_a_node_moves_only_what_was_on_it() {
+fn only_volumes_on_a_lost_node_move() {
     let problem = problem_after_node_loss();
     let affected = problem
         .volumes
@@ -101,8 +108,9 @@
     repaired.start_from_current();
     assert!(repaired.place_missing() && repaired.is_feasible());
     let placement = repaired.objective().expect("complete").placement.0;
-    let has_moved = |(volume, set): &(&Volume, &Vec<usize>)| {
-        set.iter()
+    let has_moved = |(volume, node_set): &(&Volume, &Vec<usize>)| {
+        node_set
+            .iter()
             .any(|node| !volume.current_nodes.contains(&problem.nodes[*node].name))
     };
     let moved = problem
@@ -113,12 +121,12 @@
         .count();
     assert!(
         moved <= affected,
-        "{moved} moved, {affected} were on the node"
+        "{moved} volumes moved, but only {affected} were on the lost node"
     );
 }
 
 #[test]
-fn all_volumes_leave_a_lost_node_also_one_without_a_reserve() {
+fn every_volume_leaves_a_lost_node_even_without_a_reserve() {
     const LOST: usize = 7;
     let mut problem = problem_after_node_loss();
     problem.nodes[LOST].capacity = 0;
@@ -133,10 +141,10 @@
     search.start_from_current();
     assert!(search.place_missing());
     let placement = search.objective().expect("complete").placement.0;
-    assert!(placement.iter().all(|set| !set.contains(&LOST)));
+    assert!(placement.iter().all(|node_set| !node_set.contains(&LOST)));
 }
 
-/// Highest memory of this process so far, in MiB.
+/// Returns the peak resident memory of this process, in MiB; 0 if it is unknown.
 fn peak_memory() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -145,7 +153,7 @@
         / 1024
 }
 
-/// Measures one size: the first placement, improvement, tuning, and the repair after the loss of a node.
+/// Measures a problem of one size: initial placement, improvement, tuning, and repair after the loss of a node.
 fn measure(volumes: usize, nodes: usize, attempts: u64) {
     let problem = random_problem(volumes, nodes, 1);
     let bound = gain_upper_bound(&problem);
@@ -157,10 +165,10 @@
     let start = Instant::now();
     let mut search = LocalSearch::new(&problem, 1);
     let is_complete = search.place_all();
-    let (first_gap, first_time) = (gap(&search), start.elapsed());
+    let (initial_gap, initial_time) = (gap(&search), start.elapsed());
     search.improve(attempts);
     println!(
-        "{volumes} volumes, {nodes} nodes: complete {is_complete} after {first_time:.2?}, gap {first_gap:.2} %; \
+        "{volumes} volumes, {nodes} nodes: complete {is_complete} after {initial_time:.2?}, gap {initial_gap:.2} %; \
          after {:.2?}, gap {:.2} %, feasible {}, {} MiB",
         start.elapsed(),
         gap(&search),
@@ -175,21 +183,25 @@
     measure_repair(&problem, &placement);
 }
 
-/// One node is lost: its volumes are placed anew, and the steps are planned.
+/// Measures the repair after the loss of a node: placement of its volumes on other nodes, and migration planning.
 fn measure_repair(problem: &Problem, placement: &Placement) {
     const LOST: usize = 1;
     let mut nodes = problem.nodes.clone();
     nodes[LOST].capacity = 0;
-    let volumes = problem.volumes.iter().zip(placement).map(|(volume, set)| {
-        let current_nodes = set
-            .iter()
-            .map(|node| problem.nodes[*node].name.clone())
-            .collect();
-        Volume {
-            current_nodes,
-            ..volume.clone()
-        }
-    });
+    let volumes = problem
+        .volumes
+        .iter()
+        .zip(placement)
+        .map(|(volume, node_set)| {
+            let current_nodes = node_set
+                .iter()
+                .map(|node| problem.nodes[*node].name.clone())
+                .collect();
+            Volume {
+                current_nodes,
+                ..volume.clone()
+            }
+        });
     let problem = Problem::new(nodes, volumes.collect()).expect("valid");
     let start = Instant::now();
     let mut repaired = LocalSearch::new(&problem, 1);
@@ -207,7 +219,7 @@
     );
 }
 
-/// The table of sizes in `docs/placement.md`; not part of the usual run: `cargo test --release -p
+/// Prints the table of problem sizes in `docs/placement.md`. Ignored by default; run with `cargo test --release -p
 /// mallowseam-placement --test local_search -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
--- a/crates/placement/tests/migration.rs
+++ b/crates/placement/tests/migration.rs
@@ -1,4 +1,5 @@
-//! Migration plans from one placement to another.
+//! Migration plans: no step may violate a constraint that was met before, and every volume that does not reach its target
+//! must be reported as blocked or deferred.
 use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
 use mallowseam_placement::feasibility::{FULL_CAPACITY, excess, fits};
 use mallowseam_placement::migration::{MigrationPlan, current_placement, plan_migration};
@@ -36,14 +37,14 @@
     u128::from(size) * SCALE as u128
 }
 
-/// How far the reserves of all volumes that are placed are from fitting.
+/// Returns the excess of the reserves of all placed volumes over the capacities.
 fn excess_of(problem: &Problem, placement: &Placement) -> i128 {
     let mut assignments = assignments(placement);
     assignments.retain(|assignment| !assignment.nodes.is_empty());
     excess(problem, &assignments)
 }
 
-/// How many zone constraints of a volume a node set violates.
+/// Returns the number of violations of a volume's zone constraints by a node set.
 fn violations(problem: &Problem, volume: usize, nodes: &[usize]) -> usize {
     let volume = &problem.volumes[volume];
     let zones: Vec<&str> = nodes
@@ -51,10 +52,9 @@
         .map(|node| problem.nodes[*node].zone.as_str())
         .collect();
     let distinct: BTreeSet<&str> = zones.iter().copied().collect();
-    let outside = volume
-        .zone
-        .as_deref()
-        .map_or(0, |wanted| zones.iter().filter(|z| **z != wanted).count());
+    let outside = volume.zone.as_deref().map_or(0, |expected| {
+        zones.iter().filter(|z| **z != expected).count()
+    });
     outside
         + if volume.distinct_zones {
             nodes.len() - distinct.len()
@@ -63,34 +63,38 @@
         }
 }
 
-/// Takes the steps one by one and checks after each that nothing got worse.
+/// Applies the steps of a plan one by one and checks that none makes a violation of a constraint worse.
 fn check(problem: &Problem, from: &Placement, plan: &MigrationPlan) {
     let mut placement = from.clone();
-    let mut last_excess = excess_of(problem, &placement);
+    let mut previous_excess = excess_of(problem, &placement);
     for step in &plan.steps {
         let before = placement[step.volume].clone();
         if let Some(from) = step.from {
             assert!(
                 before.contains(&from),
-                "{step:?} leaves a node that the volume is not on"
+                "{step:?} moves a part from a node that does not hold the volume"
             );
         }
         placement[step.volume].retain(|node| Some(*node) != step.from);
         placement[step.volume].extend(step.to);
         placement[step.volume].sort_unstable();
         let excess = excess_of(problem, &placement);
-        assert!(excess <= last_excess, "{step:?} breaks a reserve");
+        assert!(
+            excess <= previous_excess,
+            "{step:?} increases the excess of the reserves"
+        );
         assert!(
             violations(problem, step.volume, &placement[step.volume])
                 <= violations(problem, step.volume, &before),
-            "{step:?} breaks a zone constraint"
+            "{step:?} violates a zone constraint"
         );
-        last_excess = excess;
+        previous_excess = excess;
     }
     assert_eq!(placement, plan.final_placement);
 }
 
-/// Two volumes that exchange their nodes, and a third node with this capacity.
+/// Returns a problem with two volumes on one node each and a third node, with a current placement and a target placement
+/// that exchanges the two volumes.
 fn exchange(third_capacity: u64) -> (Problem, Placement, Placement) {
     let nodes = vec![
         node("a", "x", 10),
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn volumes_that_block_each_other_take_a_detour_by_a_third_node() {
+fn volumes_that_block_each_other_take_a_detour_over_a_third_node() {
     let (problem, from, to) = exchange(6);
     let plan = plan_migration(&problem, &from, &to, None);
     check(&problem, &from, &plan);
@@ -113,19 +117,19 @@
         (to.clone(), 3)
     );
     assert_eq!(plan.data(), data(300));
-    // With a data budget for the two direct moves only, there is no detour and both volumes stay.
+    // The data budget covers the two direct moves but no detour, so both volumes stay.
     let plan = plan_migration(&problem, &from, &to, Some(data(200)));
     assert_eq!((plan.steps.len(), plan.blocked), (0, vec![0, 1]));
 }
 
 #[test]
-fn volumes_that_block_each_other_without_a_third_node_are_reported() {
+fn volumes_that_block_each_other_are_reported_if_no_detour_fits() {
     let (problem, from, to) = exchange(5);
     assert_eq!(plan_migration(&problem, &from, &to, None).blocked, [0, 1]);
 }
 
 #[test]
-fn volumes_on_lost_nodes_are_first_and_those_beyond_the_data_budget_are_deferred() {
+fn volumes_on_lost_nodes_move_first_and_those_beyond_the_data_budget_are_deferred() {
     let nodes = vec![node("a", "x", 20), node("b", "x", 0), node("c", "x", 20)];
     let volumes = vec![
         volume("u", 3, &["a"]),
@@ -167,7 +171,7 @@
     assert_eq!((plan.steps.len(), plan.blocked.len()), (2, 0));
 }
 
-/// A random problem with four nodes in two zones and three to six volumes.
+/// Returns a random problem with four nodes in up to two zones and three to six volumes.
 fn random_problem(seed: u64) -> Problem {
     let mut state = seed | 1;
     let mut below = |bound: u64| {
@@ -202,7 +206,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the current placement is, each step keeps what holds, and what is not reached is reported.
+    /// For any current placement, no step makes a violation worse, the data budget is kept, and each volume that does not
+    /// reach its target is reported.
     #[test]
     fn no_step_violates_a_constraint_that_was_met(seed in any::<u64>(), max_size in prop::option::of(0u64..600)) {
         let problem = random_problem(seed);
@@ -213,9 +218,9 @@
             let plan = plan_migration(&problem, &from, &to, max_data);
             check(&problem, &from, &plan);
             prop_assert!(max_data.is_none_or(|max| plan.data() <= max));
-            for (volume, wanted) in to.iter().enumerate() {
+            for (volume, expected) in to.iter().enumerate() {
                 let is_reported = plan.blocked.contains(&volume) || plan.deferred.contains(&volume);
-                prop_assert!(is_reported || plan.final_placement[volume] == *wanted);
+                prop_assert!(is_reported || plan.final_placement[volume] == *expected);
             }
             if plan.blocked.is_empty() && plan.deferred.is_empty() {
                 prop_assert!(fits(&problem, &assignments(&plan.final_placement), &|_| true, FULL_CAPACITY));
--- a/crates/placement/tests/pinned_placements.rs
+++ b/crates/placement/tests/pinned_placements.rs
@@ -1,6 +1,6 @@
-//! Pins what the package decides: seeded problems are worked out by every public function, and a hash over all
-//! answers is compared with the one recorded at commit 01f3988. A pin that fails means that a placement, a
-//! migration step, a chosen figure or the arithmetic has changed; the values are never recorded anew.
+//! Guards against unintended changes of decisions: seeded problems are passed through every public function, and a digest
+//! of all results is compared with the one recorded at commit 01f3988. A different digest means that a placement, a
+//! migration step, a weight, a reserve or the arithmetic has changed. The recorded digests are never replaced by new ones.
 use mallowseam_placement::branch_and_bound::{SolveOutcome, is_feasible, solve};
 use mallowseam_placement::feasibility::{excess, fits};
 use mallowseam_placement::infeasibility::explain;
@@ -17,7 +17,14 @@
 use mallowseam_test_support::{Digest, SeededRng};
 use std::fmt::Write;
 
-fn problem(rng: &mut SeededRng, volumes: u64, nodes: u64, most_reserved: u64) -> Problem {
+/// Returns a random problem. Reserves are below `max_reserve_percent` of the mean
+/// capacity per volume.
+fn random_problem(
+    rng: &mut SeededRng,
+    volumes: u64,
+    nodes: u64,
+    max_reserve_percent: u64,
+) -> Problem {
     let nodes: Vec<Node> = (0..nodes)
         .map(|n| Node {
             name: format!("n{n:02}"),
@@ -39,7 +46,7 @@
             let reserve = if rng.one_in(4) {
                 0
             } else {
-                rng.below(most_reserved * mean / 100)
+                rng.below(max_reserve_percent * mean / 100)
             };
             let first = rng.below(names.len() as u64) as usize;
             let placed_on = if rng.one_in(5) { 0 } else { spread };
@@ -79,36 +86,37 @@
     )
 }
 
-/// Everything that can be said of one placement, and the migration to it from the current one.
+/// Returns the results of all functions that take a placement, and the migration plans from the current placement to it.
 fn describe_placement(p: &Problem, placement: &Placement, rng: &mut SeededRng) -> String {
     let mut text = describe_objective(&objective(p, placement));
     let all = assignments(placement);
-    let chosen = tune(p, placement);
-    let asked: Vec<u64> = p
+    let tuned = tune(p, placement);
+    let demand: Vec<u64> = p
         .volumes
         .iter()
         .map(|v| rng.below(v.surge_rate * 2 + 1))
         .collect();
-    let shares: Vec<VolumeShare> = chosen
+    let shares: Vec<VolumeShare> = tuned
         .reserved_rates
         .iter()
-        .zip(&chosen.weights)
+        .zip(&tuned.weights)
         .map(|(reserve, weight)| VolumeShare {
             reserved_rate: *reserve,
             weight: *weight,
         })
         .collect();
-    let gained = gain_at_demand(p, placement, &shares, &asked);
+    let gained = gain_at_demand(p, placement, &shares, &demand);
     write!(text, " excess {} moment {gained}", excess(p, &all)).expect("writing to memory");
-    let (weights, reserves) = (&chosen.weights, &chosen.reserved_rates);
+    let (weights, reserves) = (&tuned.weights, &tuned.reserved_rates);
     write!(
         text,
         " chosen {weights:?} {reserves:?} {} {}",
-        chosen.gain, chosen.gain_before
+        tuned.gain, tuned.gain_before
     )
     .expect("writing to memory");
-    for stretch in [500, 999, 1000, 1001] {
-        write!(text, " {}", fits(p, &all, &|_| true, stretch)).expect("writing to memory");
+    for capacity_per_mille in [500, 999, 1000, 1001] {
+        write!(text, " {}", fits(p, &all, &|_| true, capacity_per_mille))
+            .expect("writing to memory");
     }
     for (volume, set) in placement.iter().enumerate() {
         write!(text, " {}", moved_data(p, volume, set)).expect("writing to memory");
@@ -116,15 +124,15 @@
     let used = cost(p, placement.iter().flatten().copied());
     write!(text, " cost {used}").expect("writing to memory");
     let from = current_placement(p);
-    for most in [None, Some(u128::from(rng.below(800)) * SCALE as u128)] {
-        let plan = plan_migration(p, &from, placement, most);
+    for max_data in [None, Some(u128::from(rng.below(800)) * SCALE as u128)] {
+        let plan = plan_migration(p, &from, placement, max_data);
         for step in &plan.steps {
             write!(
                 text,
                 " [{} {:?} {:?} {}]",
                 step.volume, step.from, step.to, step.data
             )
-            .expect("memory");
+            .expect("writing to memory");
         }
         let (end, deferred, blocked) = (&plan.final_placement, &plan.deferred, &plan.blocked);
         write!(
@@ -132,15 +140,16 @@
             " ends {end:?} left {deferred:?} stuck {blocked:?} data {}",
             plan.data()
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
     text
 }
 
-fn small(seed: u64) -> String {
+/// Returns the results for a small problem that the exact search can solve.
+fn solve_small_problem(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
     let (volumes, nodes) = (2 + rng.below(4), 2 + rng.below(3));
-    let p = problem(rng, volumes, nodes, 75);
+    let p = random_problem(rng, volumes, nodes, 75);
     let mut text = format!("{}", gain_upper_bound(&p));
     for constraint in p.constraints() {
         write!(text, " {}", p.describe(constraint)).expect("writing to memory");
@@ -162,8 +171,9 @@
         SolveOutcome::Infeasible => {
             let conflict = explain(&p, 3_000);
             let conflict = conflict.map(|c| {
-                let demands: Vec<String> = c.constraints.iter().map(|w| p.describe(*w)).collect();
-                (demands, c.least_capacity_per_mille)
+                let descriptions: Vec<String> =
+                    c.constraints.iter().map(|w| p.describe(*w)).collect();
+                (descriptions, c.least_capacity_per_mille)
             });
             write!(text, " none {conflict:?}").expect("writing to memory");
         }
@@ -175,17 +185,23 @@
             write!(text, " open {bound} {found:?}").expect("writing to memory");
         }
     }
-    for stretch in [200, 1000, 3000] {
-        write!(text, " {:?}", is_feasible(&p, &|_| true, stretch, 200)).expect("writing to memory");
+    for capacity_per_mille in [200, 1000, 3000] {
+        write!(
+            text,
+            " {:?}",
+            is_feasible(&p, &|_| true, capacity_per_mille, 200)
+        )
+        .expect("writing to memory");
     }
     text
 }
 
-fn large(seed: u64) -> String {
+/// Returns the results of the local search for a large problem.
+fn search_large_problem(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
     let (volumes, nodes) = (20 + rng.below(30), 6 + rng.below(6));
-    let most_reserved = 30 + rng.below(40);
-    let p = problem(rng, volumes, nodes, most_reserved);
+    let max_reserve_percent = 30 + rng.below(40);
+    let p = random_problem(rng, volumes, nodes, max_reserve_percent);
     let mut text = String::new();
     for from_current in [false, true] {
         let mut search = LocalSearch::new(&p, seed);
@@ -205,7 +221,7 @@
                 found.as_ref().map(describe_objective),
                 search.is_feasible()
             )
-            .expect("memory");
+            .expect("writing to memory");
         }
         if let Some(best) = search.objective().filter(|_| volumes < 30) {
             text += &describe_placement(&p, &best.placement.0, rng);
@@ -214,8 +230,8 @@
     text
 }
 
-/// Volumes that fill over half of a node each change places, with little room to pass.
-fn exchange(seed: u64) -> String {
+/// Returns the migration plan of volumes that exchange nodes with little spare capacity for detours.
+fn plan_exchange(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
     let node = |n: u64, capacity| Node {
         name: format!("n{n}"),
@@ -245,13 +261,13 @@
         to.swap(last, rng.below(last as u64 + 1) as usize);
     }
     let to: Placement = to.into_iter().map(|n| vec![n]).collect();
-    // Now and then the bound on the data is met exactly.
-    let most = match rng.below(3) {
+    // A data budget of the size of two volumes is sometimes met exactly.
+    let max_data = match rng.below(3) {
         0 => None,
         1 => Some(u128::from(rng.below(600)) * SCALE as u128),
         _ => Some(u128::from(p.volumes[0].size + p.volumes[1].size) * SCALE as u128),
     };
-    let plan = plan_migration(&p, &current_placement(&p), &to, most);
+    let plan = plan_migration(&p, &current_placement(&p), &to, max_data);
     let mut text = String::new();
     for step in &plan.steps {
         write!(
@@ -259,15 +275,16 @@
             " [{} {:?} {:?} {}]",
             step.volume, step.from, step.to, step.data
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
     let (end, deferred, blocked) = (&plan.final_placement, &plan.deferred, &plan.blocked);
-    write!(text, " ends {end:?} left {deferred:?} stuck {blocked:?}").expect("memory");
+    write!(text, " ends {end:?} left {deferred:?} stuck {blocked:?}").expect("writing to memory");
     text
 }
 
-/// Reserves that nearly fill all nodes: a first placement needs repairs, and may not be found.
-fn tight(seed: u64) -> String {
+/// Returns the result of the local search for reserves that nearly fill all nodes: the initial placement needs repairs and
+/// may stay incomplete.
+fn search_nearly_full_problem(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
     let node = |n: u64| Node {
         name: format!("n{n}"),
@@ -301,6 +318,7 @@
     )
 }
 
+/// Returns the quotas of random limits and rates.
 fn split_limits(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
     let mut text = String::new();
@@ -315,12 +333,12 @@
 }
 
 #[test]
-fn small_problems_are_answered_as_recorded() {
+fn results_for_small_problems_match_the_recorded_digests() {
     let digests: Vec<String> = (0..20)
         .map(|seed| {
             Digest::of_text(
                 &(0..15)
-                    .map(|n| small(seed * 1_000 + n))
+                    .map(|n| solve_small_problem(seed * 1_000 + n))
                     .collect::<Vec<_>>()
                     .join("\n"),
             )
@@ -354,8 +372,10 @@
 }
 
 #[test]
-fn large_problems_are_answered_as_recorded() {
-    let digests: Vec<String> = (0..10).map(|seed| Digest::of_text(&large(seed))).collect();
+fn results_for_large_problems_match_the_recorded_digests() {
+    let digests: Vec<String> = (0..10)
+        .map(|seed| Digest::of_text(&search_large_problem(seed)))
+        .collect();
     assert_eq!(
         digests,
         [
@@ -374,12 +394,12 @@
 }
 
 #[test]
-fn exchanges_are_planned_as_recorded() {
+fn migration_plans_of_exchanges_match_the_recorded_digests() {
     let digests: Vec<String> = (0..10)
         .map(|seed| {
             Digest::of_text(
                 &(0..20)
-                    .map(|n| exchange(seed * 1_000 + n))
+                    .map(|n| plan_exchange(seed * 1_000 + n))
                     .collect::<Vec<_>>()
                     .join("\n"),
             )
@@ -403,12 +423,12 @@
 }
 
 #[test]
-fn tight_problems_are_repaired_as_recorded() {
+fn placements_of_nearly_full_problems_match_the_recorded_digests() {
     let digests: Vec<String> = (0..10)
         .map(|seed| {
             Digest::of_text(
                 &(0..30)
-                    .map(|n| tight(seed * 1_000 + n))
+                    .map(|n| search_nearly_full_problem(seed * 1_000 + n))
                     .collect::<Vec<_>>()
                     .join("\n"),
             )
@@ -432,7 +452,7 @@
 }
 
 #[test]
-fn limits_are_split_as_recorded() {
+fn limit_quotas_match_the_recorded_digests() {
     let digests: Vec<String> = (0..5)
         .map(|seed| Digest::of_text(&split_limits(seed)))
         .collect();
@@ -449,7 +469,7 @@
 }
 
 #[test]
-fn constants_are_the_recorded_ones() {
+fn constants_match_the_recorded_values() {
     assert_eq!(
         (MAX_NUMBER, MAX_SPREAD, SCALE, MAX_WEIGHT),
         (1_000_000_000_000, 8, 840, 1_000)
@@ -457,7 +477,7 @@
 }
 
 #[test]
-fn errors_of_a_problem_are_the_recorded_texts() {
+fn problem_errors_have_the_recorded_texts() {
     let node = |name: &str, capacity| Node {
         name: name.into(),
         zone: "z".into(),
@@ -510,22 +530,22 @@
         valid.clone(),
         valid,
     ];
-    let wrong: Vec<String> = Problem::new(nodes, volumes)
+    let errors: Vec<String> = Problem::new(nodes, volumes)
         .expect_err("invalid")
         .iter()
         .map(ToString::to_string)
         .collect();
     let expected = [
-        "`a`: expected one node of this name",
-        "`s`: expected one volume of this name",
-        "`b`: expected numbers up to a million million",
-        "`alone`: expected a spread of at least 2, since it survives the loss of a node",
-        "`big`: expected numbers up to a million million",
-        "`far`: expected a zone that some node is in",
-        "`lost`: expected to lie on nodes of the problem, not on `q`",
-        "`low`: expected a surge of at least the reserve",
+        "`a`: expected unique node names",
+        "`s`: expected unique volume names",
+        "`b`: expected numbers of at most 10^12",
+        "`alone`: expected a spread of at least 2 nodes for a volume that survives the loss of a node",
+        "`big`: expected numbers of at most 10^12",
+        "`far`: expected a volume whose zone has at least one node",
+        "`lost`: expected volume data on defined nodes only, not on `q`",
+        "`low`: expected a surge rate of at least the reserved rate",
         "`none`: expected a spread of 1 to 8 nodes",
         "`wide`: expected a spread of 1 to 8 nodes",
     ];
-    assert_eq!(wrong, expected);
+    assert_eq!(errors, expected);
 }
--- a/crates/placement/tests/tuning.rs
+++ b/crates/placement/tests/tuning.rs
@@ -1,4 +1,4 @@
-//! Weights and reserves chosen for a settled placement.
+//! Weights and reserves chosen for a fixed placement.
 use mallowseam_placement::problem::{Node, Problem, Volume};
 use mallowseam_placement::tuning::tune;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn shares_go_to_the_highest_priority_and_no_volume_is_left_without() {
+fn the_highest_priority_has_most_of_the_shares_and_every_volume_has_a_weight() {
     let problem = problem(vec![volume("u", 9_000, 1800), volume("v", 9_000, 1000)]);
     let tuning = tune(&problem, &vec![vec![0], vec![0]]);
     assert!(tuning.gain > tuning.gain_before);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn weights_that_are_best_already_stay_as_they_are() {
+fn optimal_weights_are_left_unchanged() {
     let problem = problem(vec![volume("u", 4_000, 1000), volume("v", 4_000, 1000)]);
     let tuning = tune(&problem, &vec![vec![0], vec![0]]);
     assert_eq!(
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn reserves_rise_to_what_fits_with_any_node_lost_and_no_further() {
-    let open = |name: &str, priority_factor, max_reserved_rate| Volume {
+fn reserves_are_raised_as_far_as_they_fit_after_the_loss_of_any_node() {
+    let adjustable = |name: &str, priority_factor, max_reserved_rate| Volume {
         reserved_rate: 1_000,
         max_reserved_rate,
         survives_node_loss: true,
@@ -54,12 +54,13 @@
         ..volume(name, 9_000, priority_factor)
     };
     let problem = problem(vec![
-        open("u", 1000, 9_000),
-        open("v", 1800, 6_500),
-        open("w", 500, 0),
+        adjustable("u", 1000, 9_000),
+        adjustable("v", 1800, 6_500),
+        adjustable("w", 500, 0),
     ]);
     let tuning = tune(&problem, &vec![vec![0, 1]; 3]);
-    // The highest priority factor first, up to its most; with a node lost the other one serves all three.
+    // The reserve with the highest priority factor is raised first, up to its maximum. After the loss of a node, the other
+    // one must serve all three reserves.
     assert_eq!(tuning.reserved_rates, [2_500, 6_500, 1_000]);
     assert!(tuning.gain > tuning.gain_before);
 }
--- a/crates/testbed/tests/placement_cli.rs
+++ b/crates/testbed/tests/placement_cli.rs
@@ -84,7 +84,7 @@
         &["node a\n  capacity 1/s\nnode a\n  capacity 2/s\n"],
     );
     assert!(
-        code == 2 && output.contains("expected one node of this name"),
+        code == 2 && output.contains("expected unique node names"),
         "{output}"
     );
 }
