--- a/crates/models/src/cold_start.rs
+++ b/crates/models/src/cold_start.rs
@@ -47,7 +47,7 @@
 pub struct Second {
     /// Number of the second, from 0.
     pub second: u64,
-    /// Number of polls that arrived at the service in this second.
+    /// Number of polls that arrived in this second while the service was up.
     #[serde(rename = "calls")]
     pub polls: u64,
     /// Maximum number of queued polls in this second.
@@ -60,9 +60,9 @@
 /// Results of a cold start.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStartOutcome {
-    /// Number of polls that arrived at the service.
+    /// Number of polls that arrived while the service was up.
     pub polls: u64,
-    /// Number of polls that the service rejected.
+    /// Number of polls that were rejected while the service was up.
     pub rejected: u64,
     /// Maximum number of polls that were queued at one time.
     pub max_queued: usize,
--- a/crates/models/src/membership/measurements.rs
+++ b/crates/models/src/membership/measurements.rs
@@ -83,7 +83,8 @@
     /// Number of times per hour that a running host is newly listed as unreachable by a running one, under faults.
     #[serde(rename = "false_words_h")]
     pub false_positives_h: f64,
-    /// Fraction of time for which a running host is listed as unreachable by a running one, under faults.
+    /// Fraction of time for which a running host is listed as unreachable by a running one, averaged over all pairs of
+    /// hosts, under faults.
     #[serde(rename = "false_part")]
     pub false_positive_fraction: f64,
 }
--- a/crates/models/tests/membership_simulation.rs
+++ b/crates/models/tests/membership_simulation.rs
@@ -1,4 +1,5 @@
-//! The membership protocol in simulated time: starts, kills, leaves, partitions, stops and name conflicts.
+//! The membership protocol in simulated time: starts, kills, leaves, partitions, stops and name conflicts. Guards against
+//! tables that do not converge, and against running members that are listed as suspect or unreachable.
 use mallowseam_fleet::{MemberState, Membership, MembershipEvent};
 use mallowseam_models::membership::simulation::{Simulation, address, name};
 
--- a/crates/placement/src/branch_and_bound.rs
+++ b/crates/placement/src/branch_and_bound.rs
@@ -35,8 +35,8 @@
     allowed: Vec<Vec<Vec<NodeIndex>>>,
     /// For each position in `order`, the last earlier position with a volume that differs in its name only. The search is
     /// limited to placements in which the node set of a volume is not before that of its identical predecessor (symmetry
-    /// breaking): exchanging the two node sets leaves the objective unchanged but for the order of names, which prefers
-    /// the ascending one.
+    /// breaking): exchanging the two node sets changes nothing but the tie-break by order of names, which prefers the
+    /// ascending one.
     identical_predecessors: Vec<Option<usize>>,
     /// For each position in `order`, the index of the chosen node set in `allowed`.
     chosen: Vec<usize>,
--- a/crates/placement/src/problem.rs
+++ b/crates/placement/src/problem.rs
@@ -20,7 +20,7 @@
     pub zone: String,
     /// Rate that the node can serve, in thousandths of a unit per second; a node with 0 [is lost](Node::is_lost).
     pub capacity: u64,
-    /// Cost of placing any volume on the node, in a unit common to all nodes.
+    /// Cost of the node if at least one volume is placed on it, in a unit common to all nodes.
     pub cost: u64,
 }
 
--- a/crates/placement/tests/local_search.rs
+++ b/crates/placement/tests/local_search.rs
@@ -212,7 +212,7 @@
         .objective()
         .map(|o| plan_migration(&problem, placement, &o.placement.0, None));
     println!(
-        "  a node lost: complete {is_complete} in {repair_time:.2?}; with {} steps planned after {:.2?}, blocked {}",
+        "  after the loss of a node: complete {is_complete} in {repair_time:.2?}; with {} steps planned after {:.2?}, blocked {}",
         plan.as_ref().map_or(0, |plan| plan.steps.len()),
         start.elapsed(),
         plan.as_ref().map_or(0, |plan| plan.blocked.len())
@@ -233,7 +233,7 @@
         .map(|volume| split_limit(1_000_000 + volume, &sent, 250).len())
         .sum::<usize>();
     println!(
-        "limits of 1,000 volumes divided over 180 hosts: {quotas} quotas in {:.2?}",
+        "limits of 1,000 volumes divided among 180 hosts: {quotas} quotas in {:.2?}",
         start.elapsed()
     );
 }
