--- a/crates/audit/src/fleet.rs
+++ b/crates/audit/src/fleet.rs
@@ -87,7 +87,7 @@
     /// Requests with more than one response.
     pub duplicated: u64,
     /// Requests that crossed the close of an idle connection, and were sent once more.
-    pub not_taken: u64,
+    pub unread: u64,
     /// Operations for which no host accepted clients.
     pub no_host: u64,
     /// Collapses of cold nodes.
--- a/crates/audit/src/fleet/client_rules.rs
+++ b/crates/audit/src/fleet/client_rules.rs
@@ -80,7 +80,7 @@
     /// if it sent nothing to a node, and if the request did not lie in its socket for long.
     fn check_untaken(&self, operation: &OperationTrace, verdict: &mut Verdict) -> Option<String> {
         let untaken = operation.untaken?;
-        verdict.not_taken += 1;
+        verdict.unread += 1;
         let host = untaken.host;
         let is_of_later_sending = |attempt: &Attempt| {
             untaken.sent_again && operation.host == host && attempt.at >= operation.sent_at
--- a/crates/audit/src/fleet/record.rs
+++ b/crates/audit/src/fleet/record.rs
@@ -54,7 +54,7 @@
     },
     /// The idle connection that a client sent a request on ended, and the host had left the request unread: it crossed
     /// the host's close. The client sends it once more on a new connection.
-    RequestNotTaken {
+    RequestUnread {
         /// The operation.
         op: u64,
     },
--- a/crates/audit/src/fleet/trace.rs
+++ b/crates/audit/src/fleet/trace.rs
@@ -186,7 +186,7 @@
                 };
                 self.update(op, |o| o.responses.push(response));
             }
-            Event::RequestNotTaken { op } => self.update(op, |o| {
+            Event::RequestUnread { op } => self.update(op, |o| {
                 o.untaken = Some(Untaken {
                     host: o.host,
                     after: at.saturating_sub(o.sent_at),
--- a/crates/audit/src/rehearsal/data.rs
+++ b/crates/audit/src/rehearsal/data.rs
@@ -144,7 +144,7 @@
             }
         }
         self.verdict.snapshots = count;
-        self.verdict.inexact = lines;
+        self.verdict.snapshot_errors = lines;
     }
 
     /// Blocks of the same sub-request that show neither the same write nor a later one.
--- a/crates/audit/src/rehearsal/verdict.rs
+++ b/crates/audit/src/rehearsal/verdict.rs
@@ -83,7 +83,7 @@
     /// Snapshots read back.
     pub snapshots: u64,
     /// What is wrong with snapshots.
-    pub inexact: Vec<String>,
+    pub snapshot_errors: Vec<String>,
     /// Counts of each I/O class.
     pub classes: Vec<ClassCount>,
     /// Each command, in the order in which they were sent.
@@ -95,7 +95,7 @@
     pub fn passed(&self) -> bool {
         self.violations.iter().all(Vec::is_empty)
             && self.wrong_data.is_empty()
-            && self.inexact.is_empty()
+            && self.snapshot_errors.is_empty()
     }
 
     /// Number of rules without a violation.
@@ -107,9 +107,9 @@
     }
 
     /// Number of snapshots with anything wrong in them.
-    pub fn inexact_snapshots(&self) -> u64 {
+    pub fn faulty_snapshots(&self) -> u64 {
         let mut names: Vec<&str> = self
-            .inexact
+            .snapshot_errors
             .iter()
             .filter_map(|line| line.split(' ').next())
             .collect();
@@ -127,7 +127,7 @@
                 .map(|line| format!("bytes wrong: {line}")),
         );
         out.extend(
-            self.inexact
+            self.snapshot_errors
                 .iter()
                 .take(EVIDENCE_LIMIT)
                 .map(|line| format!("snapshot: {line}")),
--- a/crates/audit/tests/fleet/rules.rs
+++ b/crates/audit/tests/fleet/rules.rs
@@ -177,7 +177,7 @@
 fn crosses_a_close(at: u64) -> Vec<Observation> {
     vec![
         request_sent(1, 10, true),
-        observed(at, Event::RequestNotTaken { op: 1 }),
+        observed(at, Event::RequestUnread { op: 1 }),
         request_sent(1, at, true),
         node_received(1, 0, at + 2, 1),
         node_responded(1, 0, at + 8),
--- a/crates/audit/tests/rehearsal/data.rs
+++ b/crates/audit/tests/rehearsal/data.rs
@@ -49,7 +49,7 @@
             run.inexact(),
             inexact,
             "asked at {asked}, shows {shows}: {:?}",
-            run.judge().inexact
+            run.judge().snapshot_errors
         );
     }
 }
@@ -93,6 +93,6 @@
         );
         run.snapshot(104, 110, shows);
         run.note(120, TraceEvent::CommandAbandoned { command: 6 });
-        assert_eq!(run.inexact(), inexact, "{:?}", run.judge().inexact);
+        assert_eq!(run.inexact(), inexact, "{:?}", run.judge().snapshot_errors);
     }
 }
--- a/crates/audit/tests/rehearsal/pinned_verdicts.rs
+++ b/crates/audit/tests/rehearsal/pinned_verdicts.rs
@@ -24,8 +24,8 @@
         out,
         "{:?} {:?} {}",
         v.wrong_data,
-        v.inexact,
-        v.inexact_snapshots()
+        v.snapshot_errors,
+        v.faulty_snapshots()
     )
     .expect("memory");
     writeln!(
--- a/crates/audit/tests/rehearsal/record.rs
+++ b/crates/audit/tests/rehearsal/record.rs
@@ -182,6 +182,6 @@
     }
 
     pub(crate) fn inexact(&self) -> bool {
-        !self.judge().inexact.is_empty()
+        !self.judge().snapshot_errors.is_empty()
     }
 }
--- a/crates/stand-ins/src/endpoint_list_service.rs
+++ b/crates/stand-ins/src/endpoint_list_service.rs
@@ -34,9 +34,9 @@
     /// The lag of notifications from now on.
     Lag(Micros),
     /// Away with all connections, or back under a new epoch.
-    Away(bool),
+    Unavailable(bool),
     /// Sends an old list again, as a service behind a stale copy would.
-    SendOldList,
+    SendStaleList,
     /// The stand-in ends.
     Stop,
 }
@@ -72,7 +72,7 @@
                 epoch: 1,
                 version: 1,
             },
-            old_list: None,
+            stale_list: None,
             trace,
         };
         let thread = std::thread::Builder::new()
@@ -151,7 +151,7 @@
     lag: Micros,
     version: ListVersion,
     /// The list before the first change, once there was one.
-    old_list: Option<String>,
+    stale_list: Option<String>,
     trace: Trace,
 }
 
@@ -182,19 +182,19 @@
                 });
             }
             Message::Lag(lag) => self.lag = lag,
-            Message::Away(true) => {
+            Message::Unavailable(true) => {
                 self.listener = None;
                 self.connections.clear();
             }
-            Message::Away(false) => {
+            Message::Unavailable(false) => {
                 self.listener = listen(self.address).ok();
                 self.version = ListVersion {
                     epoch: self.version.epoch + 1,
                     version: 1,
                 };
             }
-            Message::SendOldList => {
-                let list = self.old_list.as_deref().unwrap_or_default();
+            Message::SendStaleList => {
+                let list = self.stale_list.as_deref().unwrap_or_default();
                 for connection in &mut self.connections {
                     // A host that is gone is found out when it is read from.
                     let _ = connection.socket.write_all(list.as_bytes());
@@ -210,8 +210,8 @@
             let Some(PendingChange { node, .. }) = self.pending.pop_front() else {
                 return;
             };
-            if self.old_list.is_none() {
-                self.old_list = Some(self.update(UpdateKind::FullSnapshot, Scope::All));
+            if self.stale_list.is_none() {
+                self.stale_list = Some(self.update(UpdateKind::FullSnapshot, Scope::All));
             }
             self.nodes[node.node as usize] = node;
             self.version.version += 1;
--- a/crates/testbed/src/cli/rehearsal_report.rs
+++ b/crates/testbed/src/cli/rehearsal_report.rs
@@ -85,7 +85,7 @@
     }
     println!(
         "snapshots exact: {} of {}; clones apart: {} of {}; rules kept: {} of 7",
-        verdict.snapshots - verdict.inexact_snapshots(),
+        verdict.snapshots - verdict.faulty_snapshots(),
         verdict.snapshots,
         report.isolated_clones,
         report.clones,
--- a/crates/testbed/src/fleet/history.rs
+++ b/crates/testbed/src/fleet/history.rs
@@ -67,7 +67,7 @@
         | Event::ResponseReceived { op, .. }
         | Event::ClientTimedOut { op }
         | Event::ConnectionLost { op }
-        | Event::RequestNotTaken { op }
+        | Event::RequestUnread { op }
         | Event::Excused { op }
         | Event::NoHostAvailable { op }
         | Event::NodeReceived { op, .. }
--- a/crates/testbed/src/fleet/peers/clients.rs
+++ b/crates/testbed/src/fleet/peers/clients.rs
@@ -106,7 +106,7 @@
             self.record(Event::ConnectionLost { op: operation.id });
             return self.schedule_retry(&operation, None);
         }
-        self.record(Event::RequestNotTaken { op: operation.id });
+        self.record(Event::RequestUnread { op: operation.id });
         match self.choose_host(&operation, Self::takes_connections) {
             Some(host) => self.send_on_new_connection(host, operation),
             None => self.on_no_host(&operation),
--- a/crates/testbed/src/fleet/soak.rs
+++ b/crates/testbed/src/fleet/soak.rs
@@ -111,7 +111,7 @@
         seed,
         requests: verdict.requests,
         host_starts: ready_times(&outcome.observations).len(),
-        not_taken: verdict.not_taken,
+        not_taken: verdict.unread,
         max_lag: outcome.max_lag,
         findings,
     }
--- a/crates/testbed/src/rehearsal/faults.rs
+++ b/crates/testbed/src/rehearsal/faults.rs
@@ -52,8 +52,8 @@
             Fault::HostDrain(n) => self.drain_host(self.order.host(*n)),
             Fault::ListLag(Micros::MAX) => self.list.send(Message::Lag(self.scenario.list_lag)),
             Fault::ListLag(lag) => self.list.send(Message::Lag(*lag)),
-            Fault::ListAway(on) => self.list.send(Message::Away(*on)),
-            Fault::ListBackwards => self.list.send(Message::SendOldList),
+            Fault::ListAway(on) => self.list.send(Message::Unavailable(*on)),
+            Fault::ListBackwards => self.list.send(Message::SendStaleList),
             Fault::Snapshot(volume, name) => self.request_from_catalog(CatalogChange::Snapshot {
                 volume: volume.clone(),
                 name: name.clone(),
--- a/crates/testbed/tests/fleet/closed_connections.rs
+++ b/crates/testbed/tests/fleet/closed_connections.rs
@@ -95,7 +95,7 @@
         let ended_at = testbed.peers.observations.iter().position(|o| {
             matches!(
                 o.event,
-                Event::ConnectionLost { .. } | Event::RequestNotTaken { .. }
+                Event::ConnectionLost { .. } | Event::RequestUnread { .. }
             )
         });
         ended_at.is_some_and(|at| {
@@ -119,20 +119,20 @@
 #[test]
 fn a_request_left_unread_at_the_close_of_an_idle_connection_is_sent_once_more() {
     let outcome = outcome_with_host(2, End::Unread);
-    assert_eq!(outcome.verdict.not_taken, 1);
+    assert_eq!(outcome.verdict.unread, 1);
     assert!(!is_response_lost(&outcome), "{:?}", outcome.violations());
 }
 
 #[test]
 fn a_request_that_was_read_before_the_close_is_lost() {
     let outcome = outcome_with_host(2, End::Read);
-    assert_eq!(outcome.verdict.not_taken, 0);
+    assert_eq!(outcome.verdict.unread, 0);
     assert!(is_response_lost(&outcome));
 }
 
 #[test]
 fn the_first_request_of_a_connection_is_lost_with_it() {
     let outcome = outcome_with_host(0, End::Unread);
-    assert_eq!(outcome.verdict.not_taken, 0);
+    assert_eq!(outcome.verdict.unread, 0);
     assert!(is_response_lost(&outcome));
 }
