--- a/crates/stand-ins/src/endpoint_list_service.rs
+++ b/crates/stand-ins/src/endpoint_list_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the endpoint list service: knows which nodes run, and notifies hosts of it late.
+//! Stand-in for the endpoint list service. It knows the state of each node, and notifies hosts of changes with a lag.
 use mallowseam_audit::trace::{Micros, Trace, TraceEvent};
 use mallowseam_endpoint_list::{Endpoint, EndpointState, ListVersion, UpdateKind, write_update};
 use std::collections::VecDeque;
@@ -13,35 +13,35 @@
 const POLL_PAUSE: Duration = Duration::from_millis(2);
 const READ_BYTES: usize = 256;
 
-/// The state of a node, as the service would learn it.
+/// State of a node, as the service would learn it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeState {
     /// Number of the node.
     pub node: u32,
-    /// Whether it takes new work.
+    /// Whether the node accepts new commands.
     pub state: EndpointState,
-    /// Number of its process; 0: long past its start.
+    /// Number of the node's process; 0 for the first one, which is past its slow start.
     pub incarnation: u64,
-    /// When its process started.
+    /// When the node's process started.
     pub started_at: Micros,
 }
 
-/// A message to the stand-in.
+/// Message to the stand-in.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Message {
-    /// The state of a node from now on. Hosts are notified after the lag.
+    /// Sets the state of a node. Hosts are notified after the lag.
     Node(NodeState),
-    /// The lag of notifications from now on.
+    /// Sets the lag of notifications.
     Lag(Micros),
-    /// Away with all connections, or back under a new epoch.
+    /// Closes the listener and all connections, or makes the service available again under a new epoch.
     Unavailable(bool),
-    /// Sends an old list again, as a service behind a stale copy would.
+    /// Sends hosts the list from before the first change, as a service with a stale replica would.
     SendStaleList,
-    /// The stand-in ends.
+    /// Ends the thread of the stand-in.
     Stop,
 }
 
-/// The stand-in on a thread of its own, which ends when this is dropped.
+/// Stand-in for the service on a thread of its own, which ends when this value is dropped.
 pub struct EndpointListService {
     messages: Sender<Message>,
     thread: Option<JoinHandle<()>>,
@@ -86,7 +86,7 @@
 
     /// Sends the stand-in a message.
     pub fn send(&self, message: Message) {
-        // A stopped service takes no more messages.
+        // The send fails if the service has stopped, which needs no more messages.
         let _ = self.messages.send(message);
     }
 }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Name of node `n` in every list and configuration of the testbed.
+/// Returns the name of node `n` in all endpoint lists and configurations of the testbed.
 pub fn node_name(n: u32) -> String {
     format!("node{n}")
 }
@@ -115,11 +115,11 @@
     socket: TcpStream,
     line: Vec<u8>,
     host: u32,
-    /// The host subscribed to changes.
+    /// Whether the host subscribed to changes.
     watches: bool,
 }
 
-/// Which nodes an update lists.
+/// Nodes that an update lists.
 #[derive(Clone, Copy)]
 enum Scope {
     All,
@@ -135,7 +135,7 @@
     }
 }
 
-/// A change of a node's state that hosts are not notified of yet.
+/// Change of a node's state that hosts have not been notified of yet.
 struct PendingChange {
     due: Micros,
     node: NodeState,
@@ -143,14 +143,14 @@
 
 struct Server {
     address: SocketAddr,
-    /// None while the service is away.
+    /// Listening socket; none while the service is unavailable.
     listener: Option<TcpListener>,
     connections: Vec<Connection>,
     nodes: Vec<NodeState>,
     pending: VecDeque<PendingChange>,
     lag: Micros,
     version: ListVersion,
-    /// The list before the first change, once there was one.
+    /// List from before the first change; none until there is a change.
     stale_list: Option<String>,
     trace: Trace,
 }
@@ -196,7 +196,7 @@
             Message::SendStaleList => {
                 let list = self.stale_list.as_deref().unwrap_or_default();
                 for connection in &mut self.connections {
-                    // A host that is gone is found out when it is read from.
+                    // A lost connection is detected by the next read.
                     let _ = connection.socket.write_all(list.as_bytes());
                 }
             }
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Answers a request line, `watch HOST` or another request, with the whole list.
+    /// Answers a request line with a full snapshot of the list. `watch HOST` also subscribes the host to changes.
     fn on_request(&mut self, i: usize) {
         let connection = &mut self.connections[i];
         let line = std::mem::take(&mut connection.line);
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for what surrounds hosts of `mallowseam`, with the faults that are injected into them. They record what passes
-//! on their sockets in the trace of `mallowseam-audit`.
+//! Stand-ins for the peers of `mallowseam` hosts, with fault injection. They record the events on their sockets in the
+//! trace of `mallowseam-audit`.
 //!
-//! - [`node`]: a storage node, an iSCSI target on a thread of its own.
-//! - [`endpoint_list_service`]: the service that tells hosts which nodes run, late.
-//! - [`simulated_node`]: a node of a fleet as a model without sockets or clocks.
-//! - [`links`]: what faults do to the bytes and datagrams of one direction of a link.
+//! - [`node`]: a storage node, as an iSCSI target on a thread of its own.
+//! - [`endpoint_list_service`]: the service that notifies hosts, with a lag, which nodes run.
+//! - [`simulated_node`]: a node of a fleet, as a model without sockets or clocks.
+//! - [`links`]: faults of the bytes and datagrams in each direction of a link.
 #![warn(missing_docs)]
 
 pub mod endpoint_list_service;
--- a/crates/stand-ins/src/links.rs
+++ b/crates/stand-ins/src/links.rs
@@ -1,27 +1,28 @@
-//! Faults of the links between peers. Each direction has its own, which may change while bytes are in flight.
+//! Faults of the links between peers. Each direction of a link has its own fault, which may change while bytes are in
+//! flight.
 use mallowseam_audit::membership::{HostLinks, LinkCondition};
 use mallowseam_audit::trace::Micros;
 use rand::{Rng, RngExt};
 use std::collections::VecDeque;
 
-/// Bytes that one direction of a connection buffers; beyond them nothing more is read from the sender, as with a full
-/// TCP window.
+/// Size of the buffer of one direction of a connection, in bytes. When it is full, nothing more is read from the
+/// sender, as with a full TCP window.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// One end of a link.
+/// Peer at one end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
     /// A host, by its index.
     Host(u32),
     /// A node, by its index.
     Node(u32),
-    /// A discovery service, by its index; hosts may be redirected from the first to the second one.
+    /// A discovery service, by its index. Hosts may be redirected from the first to the second one.
     List(u32),
     /// All clients.
     Clients,
 }
 
-/// The peers at one end of a fault.
+/// Set of peers at one end of faulty links.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerSet {
     /// Every peer.
@@ -36,14 +37,14 @@
     Single(Peer),
     /// Hosts and nodes of a zone.
     Zone(u32),
-    /// Hosts from the first index up to, and without, the second.
+    /// Hosts from the first index up to, but excluding, the second.
     HostRange(u32, u32),
-    /// Nodes from the first index up to, and without, the second.
+    /// Nodes from the first index up to, but excluding, the second.
     NodeRange(u32, u32),
 }
 
 impl PeerSet {
-    /// Peers are assigned to `zones` zones round-robin.
+    /// Returns whether the set contains a peer. Hosts and nodes are assigned to `zones` zones round-robin.
     fn contains(self, peer: Peer, zones: u32) -> bool {
         match (self, peer) {
             (PeerSet::All, _)
@@ -59,20 +60,20 @@
     }
 }
 
-/// What is wrong with one direction of a link. The default is a link without a fault.
+/// Fault of one direction of a link. The default is a link without a fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
     /// Added latency in microseconds.
     pub latency: Micros,
-    /// Upper bound of a random addition to the latency; bytes of a connection stay in order.
+    /// Maximum random addition to the latency, in microseconds. The bytes of a connection stay in order.
     pub jitter: Micros,
-    /// Nothing arrives: bytes are buffered until the fault ends, and new connections are never established.
+    /// Whether nothing arrives: bytes are buffered until the fault ends, and new connections are never established.
     pub blackholed: bool,
-    /// New connections are refused.
+    /// Whether new connections are refused.
     pub refuses_connections: bool,
-    /// Bandwidth, where it is limited.
+    /// Bandwidth in bytes per second; none if it is not limited.
     pub bytes_per_second: Option<f64>,
-    /// A connection is reset after so many bytes, if it is at all.
+    /// Number of delivered bytes after which a connection is reset; none if it is never reset.
     pub reset_after_bytes: Option<u64>,
     /// Fraction of datagrams that are lost.
     pub loss: f64,
@@ -81,13 +82,13 @@
 }
 
 impl LinkFault {
-    /// Whether a new message can't pass: the link is blackholed or refuses connections.
+    /// Returns whether a new message cannot pass, because the link is blackholed or refuses connections.
     pub fn blocks(&self) -> bool {
         self.blackholed || self.refuses_connections
     }
 }
 
-/// A fault on all links from one set of peers to another.
+/// Fault of all links from one set of peers to another.
 #[derive(Clone, Copy, Debug)]
 struct LinkRule {
     from: PeerSet,
@@ -95,7 +96,7 @@
     fault: LinkFault,
 }
 
-/// The faults in force. A later one takes precedence over earlier ones.
+/// Faults in force. A later fault takes precedence over earlier ones.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     zones: u32,
@@ -103,7 +104,7 @@
 }
 
 impl Links {
-    /// No faults, with peers in so many zones.
+    /// Creates links without faults, between peers in this number of zones.
     pub fn new(zones: u32) -> Self {
         Links {
             zones,
@@ -112,7 +113,7 @@
     }
 
     /// Sets the fault of all links from one set of peers to another; the default fault heals them. Each pair of sets
-    /// has one entry, so that the sets that a script names bound the table.
+    /// has at most one rule, so the number of rules is bounded by the sets that a script names.
     pub fn set(&mut self, from: PeerSet, to: PeerSet, fault: LinkFault) {
         self.rules.retain(|rule| (rule.from, rule.to) != (from, to));
         if fault != LinkFault::default() {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The fault of the direction from one peer to another.
+    /// Returns the fault of the direction from one peer to another.
     pub fn fault_between(&self, from: Peer, to: Peer) -> LinkFault {
         let applies = |rule: &&LinkRule| {
             rule.from.contains(from, self.zones) && rule.to.contains(to, self.zones)
@@ -132,7 +133,7 @@
             .map_or_else(LinkFault::default, |rule| rule.fault)
     }
 
-    /// What becomes of new connections from one peer to another. A handshake needs both directions.
+    /// Returns the outcome of new connections from one peer to another. A handshake needs both directions.
     pub fn connect_outcome(&self, from: Peer, to: Peer) -> ConnectOutcome {
         let forward = self.fault_between(from, to);
         let backward = self.fault_between(to, from);
@@ -157,14 +158,14 @@
     }
 }
 
-/// What becomes of a new connection.
+/// Outcome of the attempt to open a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectOutcome {
-    /// It is established.
+    /// The connection is established.
     Accepted,
-    /// It is refused at once.
+    /// The connection is refused at once.
     Refused,
-    /// It is never answered.
+    /// The attempt is never answered.
     Blackholed,
 }
 
@@ -173,7 +174,7 @@
     Close,
 }
 
-/// What comes out of one direction of a connection.
+/// Output of one direction of a connection.
 #[derive(Debug, PartialEq)]
 pub enum PipeOutput {
     /// Nothing is due.
@@ -189,21 +190,21 @@
 /// Bytes in flight in one direction of a connection.
 #[derive(Default)]
 pub struct Pipe {
-    /// Segments and when each is due.
+    /// Segments, each with the time at which it is due.
     segments: VecDeque<(Micros, Segment)>,
     buffered_bytes: usize,
     delivered_bytes: u64,
-    /// When the last segment is due: no later one overtakes it.
+    /// When the last segment is due. Later segments are not due before it.
     busy_until: Micros,
 }
 
 impl Pipe {
-    /// Whether the buffer is full: the caller stops reading from the sender.
+    /// Returns whether the buffer is full, so that the caller must stop reading from the sender.
     pub fn is_full(&self) -> bool {
         self.buffered_bytes >= MAX_BUFFERED_BYTES
     }
 
-    /// The sender has sent these bytes.
+    /// Adds bytes that the sender has sent.
     pub fn push(&mut self, now: Micros, bytes: &[u8], fault: &LinkFault, rng: &mut impl Rng) {
         let transmission = fault
             .bytes_per_second
@@ -218,7 +219,7 @@
         );
     }
 
-    /// The sender has closed the connection; the receiver learns of it behind all bytes.
+    /// Adds the sender's close of the connection, which the receiver gets after all bytes.
     pub fn close(&mut self, now: Micros, fault: &LinkFault, rng: &mut impl Rng) {
         self.enqueue(now, 0, Segment::Close, fault, rng);
     }
@@ -236,7 +237,7 @@
         } else {
             0
         };
-        // With limited bandwidth, transmission starts behind the segments before.
+        // With limited bandwidth, transmission starts after that of the previous segments.
         let start = if transmission > 0 {
             now.max(self.busy_until)
         } else {
@@ -248,7 +249,7 @@
         self.segments.push_back((self.busy_until, segment));
     }
 
-    /// Takes the next segment that is due.
+    /// Removes and returns the next segment that is due.
     pub fn poll(&mut self, now: Micros, fault: &LinkFault) -> PipeOutput {
         if fault.blackholed || self.segments.front().is_none_or(|(due, _)| *due > now) {
             return PipeOutput::Nothing;
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Delivers bytes up to the count at which the fault resets the connection.
+    /// Delivers bytes, up to the number after which the fault resets the connection.
     fn deliver(&mut self, now: Micros, mut bytes: Vec<u8>, fault: &LinkFault) -> PipeOutput {
         self.buffered_bytes -= bytes.len();
         let delivered_before = self.delivered_bytes;
@@ -275,13 +276,13 @@
         if bytes.is_empty() {
             return PipeOutput::Reset;
         }
-        // One byte beyond the count makes the next call reset the connection.
+        // One more byte makes the next call reset the connection.
         self.segments.push_front((now, Segment::Bytes(vec![0])));
         self.buffered_bytes += 1;
         PipeOutput::Bytes(bytes)
     }
 
-    /// When the next segment is due, unless the link is blackholed.
+    /// Returns when the next segment is due, unless the link is blackholed.
     pub fn next_due(&self) -> Option<Micros> {
         self.segments.front().map(|(due, _)| *due)
     }
--- a/crates/stand-ins/src/node.rs
+++ b/crates/stand-ins/src/node.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a storage node: an iSCSI target that keeps real bytes, serves at a set speed, queues and sheds,
-//! warms up after a start and crashes when overloaded meanwhile. Scripts inject its faults.
+//! Stand-in for a storage node: an iSCSI target that stores data, serves at a configured speed, queues and sheds
+//! commands, has a slow start after a restart and crashes when it is overloaded meanwhile. Scripts inject its faults.
 mod block_store;
 mod connections;
 mod deferred;
@@ -26,24 +26,24 @@
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
 
-/// What the endpoint list service would know of a node.
+/// State of a node's process, as the endpoint list service would learn it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub up: bool,
-    /// Number of the process; 0 for the first, long past its start.
+    /// Number of the process; 0 for the first one, which is past its slow start when the run begins.
     pub incarnation: u64,
     /// When the process started.
     pub started_at: Micros,
 }
 
 impl Lifecycle {
-    /// Whether the node still runs the process with which the run began, which is in no slow start.
+    /// Returns whether the node still runs its first process, which has no slow start.
     fn is_first_process(&self) -> bool {
         self.incarnation == 0
     }
 
-    /// Part of its full speed that the node has now.
+    /// Returns the fraction of its full speed that the node has now.
     fn speed_fraction(&self, now: Micros, model: &ServiceModel) -> f64 {
         if self.is_first_process() {
             1.0
@@ -59,7 +59,7 @@
     }
 }
 
-/// A stand-in node on a thread of its own, which ends when this is dropped.
+/// Stand-in node on a thread of its own, which ends when this value is dropped.
 pub struct Node {
     faults: Sender<NodeFault>,
     waker: Arc<Waker>,
@@ -68,8 +68,8 @@
 }
 
 impl Node {
-    /// Starts a node that listens on `address` and has the target name `target`. The seed draws its failures and
-    /// the variation of its work.
+    /// Starts a node that listens on `address` and has the target name `target`. Its failures and the variation of its
+    /// work are drawn from `seed`.
     ///
     /// # Errors
     /// The address cannot be bound, or no thread can be started.
@@ -100,7 +100,7 @@
             seed,
             lifecycle: Arc::clone(&lifecycle),
         };
-        // The server holds reference counts of one thread, so it is made there.
+        // The server holds `Rc`s, so it is created on its own thread.
         let thread = std::thread::Builder::new()
             .name(format!("node{index}"))
             .spawn(move || Server::new(setup).run(&receiver))?;
@@ -114,12 +114,12 @@
 
     /// Injects a fault, or ends it.
     pub fn inject(&self, fault: NodeFault) {
-        // A stopped node takes no more faults.
+        // The send fails if the node has stopped, which needs no more faults.
         let _ = self.faults.send(fault);
         let _ = self.waker.wake();
     }
 
-    /// Whether its process runs, and since when.
+    /// Returns whether the process of the node runs, and since when.
     pub fn lifecycle(&self) -> Lifecycle {
         *self
             .lifecycle
--- a/crates/stand-ins/src/node/block_store.rs
+++ b/crates/stand-ins/src/node/block_store.rs
@@ -1,4 +1,4 @@
-//! The blocks that a stand-in node stores.
+//! Storage of a stand-in node.
 use super::transfer::Transfer;
 use mallowseam_audit::block;
 use std::collections::HashMap;
@@ -37,17 +37,17 @@
         data
     }
 
-    /// Forgets the blocks of some runs: first block and number of blocks.
-    pub(super) fn unmap(&mut self, lun: u32, runs: impl IntoIterator<Item = (u64, u32)>) {
-        for (lba, blocks) in runs {
+    /// Removes ranges of blocks, each given by its first block and number of blocks.
+    pub(super) fn unmap(&mut self, lun: u32, ranges: impl IntoIterator<Item = (u64, u32)>) {
+        for (lba, blocks) in ranges {
             let unmapped = lba..lba + u64::from(blocks);
             self.blocks
                 .retain(|(unit, block), _| *unit != lun || !unmapped.contains(block));
         }
     }
 
-    /// Runs of stored blocks from an address on: first block and number of blocks.
-    pub(super) fn stored_runs(&self, lun: u32, from: u64) -> Vec<(u64, u32)> {
+    /// Returns the ranges of stored blocks from an address on, each as its first block and number of blocks.
+    pub(super) fn stored_ranges(&self, lun: u32, from: u64) -> Vec<(u64, u32)> {
         let mut stored: Vec<u64> = self
             .blocks
             .keys()
@@ -55,13 +55,13 @@
             .map(|(_, lba)| *lba)
             .collect();
         stored.sort_unstable();
-        let mut runs: Vec<(u64, u32)> = Vec::new();
+        let mut ranges: Vec<(u64, u32)> = Vec::new();
         for lba in stored {
-            match runs.last_mut() {
+            match ranges.last_mut() {
                 Some((first, count)) if *first + u64::from(*count) == lba => *count += 1,
-                _ => runs.push((lba, 1)),
+                _ => ranges.push((lba, 1)),
             }
         }
-        runs
+        ranges
     }
 }
--- a/crates/stand-ins/src/node/connections.rs
+++ b/crates/stand-ins/src/node/connections.rs
@@ -12,12 +12,14 @@
 
 /// Token of the first connection.
 pub(super) const FIRST_CONNECTION: usize = 2;
+/// Size of the buffer for reads, in bytes.
 const SCRATCH_BYTES: usize = 128 * 1024;
+/// Number of commands that an initiator may have in flight on a connection.
 const COMMAND_WINDOW: u32 = 64;
 const MAX_TRANSFER_BYTES: usize = 8 << 20;
 const MAX_CONNECTIONS: usize = 256;
 
-/// A logged-in connection.
+/// Logged-in connection.
 #[derive(Clone, Copy)]
 pub(super) struct Session {
     /// Number of the connection, unique at the node.
@@ -26,7 +28,7 @@
     pub(super) host: u32,
 }
 
-/// The connections of one node. Times are ticks of the connections' clock.
+/// Connections of one node. Times are in ticks of the connections' clock.
 pub(super) struct Connections {
     target: String,
     address: SocketAddr,
@@ -57,12 +59,12 @@
         }
     }
 
-    /// Reads what has come in on a connection that became ready. True if there may be more.
+    /// Reads from a connection that became ready. Returns whether there may be more to read.
     pub(super) fn on_ready(&mut self, client: u32, now: i64) -> bool {
         self.clients.on_ready(client, true, &mut self.scratch, now)
     }
 
-    /// Reads on. True if there may be more.
+    /// Continues to read from a connection. Returns whether there may be more to read.
     pub(super) fn read(&mut self, client: u32, now: i64) -> bool {
         self.clients.read(client, &mut self.scratch, now)
     }
@@ -71,7 +73,7 @@
         self.clients.next_event(client)
     }
 
-    /// Sends what is buffered. Returns the clients that have more to send.
+    /// Sends buffered data. Returns the ids of clients with data left to send.
     pub(super) fn flush(&mut self, now: i64) -> Vec<u32> {
         self.clients.flush(now)
     }
@@ -91,19 +93,19 @@
         self.sessions.get(&client).copied()
     }
 
-    /// Whether the connection that a command came from is still that of its client id.
+    /// Returns whether the connection that a command came from still has its client id.
     pub(super) fn is_open(&self, origin: TaskRef) -> bool {
         self.sessions
             .get(&origin.client)
             .is_some_and(|session| session.connection == origin.connection)
     }
 
-    /// The connection that has a client id now.
+    /// Returns the connection that has a client id now.
     pub(super) fn connection_mut(&mut self, client: u32) -> Option<&mut TargetConnection> {
         self.clients.session_mut(client)
     }
 
-    /// Forgets the sessions of closed connections. Returns the numbers of these connections.
+    /// Removes the sessions of closed connections, and returns the numbers of these connections.
     pub(super) fn take_closed(&mut self) -> Vec<u64> {
         while self.clients.next_abandoned().is_some() {}
         let clients = &self.clients;
@@ -118,7 +120,7 @@
     }
 }
 
-/// Number of the host of this initiator name; 0 for a name that scripts do not give.
+/// Returns the number of the host with this initiator name; 0 for a name without a host number.
 fn host_number(initiator: &str) -> u32 {
     initiator
         .rsplit(":gw")
--- a/crates/stand-ins/src/node/deferred.rs
+++ b/crates/stand-ins/src/node/deferred.rs
@@ -1,18 +1,18 @@
-//! What comes in at a stand-in node while it is silent.
+//! Events that arrive at a stand-in node while it is silent.
 use super::transfer::TaskRef;
 use mallowseam_iscsi::target::TargetEvent;
 use std::collections::VecDeque;
 
-/// An event that came in while the node was silent.
+/// Event that arrived while the node was silent.
 pub(super) struct DeferredEvent {
     pub(super) client: u32,
     pub(super) connection: u64,
     pub(super) event: TargetEvent,
-    /// Its command was aborted meanwhile.
+    /// Whether the command of the event was aborted meanwhile.
     pub(super) aborted: bool,
 }
 
-/// Deferred events, in the order in which they came in.
+/// Deferred events, in the order of their arrival.
 #[derive(Default)]
 pub(super) struct DeferredEvents {
     events: VecDeque<DeferredEvent>,
--- a/crates/stand-ins/src/node/faults.rs
+++ b/crates/stand-ins/src/node/faults.rs
@@ -1,35 +1,35 @@
 //! Faults of a stand-in node.
 use mallowseam_audit::trace::Micros;
 
-/// A fault, or its end.
+/// Fault of a stand-in node, or its end. For variants with a `bool`, true begins the fault and false ends it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeFault {
-    /// Answers nothing and starts nothing new, while what has started goes on. Commands that come in meanwhile are
-    /// read off the sockets, so that their time is known, and processed later.
+    /// The node answers nothing and starts no new commands; running commands continue. Commands that arrive meanwhile
+    /// are read from the sockets, so that their time is recorded, and processed later.
     Silent(bool),
-    /// The process ends with all that is in flight; it starts again cold.
+    /// The process ends with all commands in flight. When it starts again, it has a slow start.
     Crash,
     /// The process starts again after a crash.
     Start,
-    /// Every connection is closed.
+    /// The node closes all connections.
     Reset,
-    /// Nothing is worked on.
+    /// The node suspends the execution of all commands.
     Frozen(bool),
-    /// This many times slower.
+    /// The node is slower by this factor.
     Slow(f64),
-    /// Part of its commands that fail at once.
+    /// This fraction of the commands fails at once.
     Errors(f64),
-    /// Part of its answers that never go out.
+    /// This fraction of the answers is never sent.
     LoseAnswers(f64),
-    /// Has no space for blocks that it does not hold yet.
+    /// The node has no space for blocks that it does not store yet.
     Full(bool),
-    /// Accepts no connections, while those it has go on.
+    /// The node accepts no new connections; open ones continue.
     NotAccepting(bool),
-    /// The stand-in itself ends.
+    /// The thread of the stand-in ends.
     Stop,
 }
 
-/// The faults that are on.
+/// Faults that are in force.
 pub(super) struct ActiveFaults {
     silent: bool,
     frozen_since: Option<Micros>,
@@ -64,7 +64,7 @@
     }
 
     /// Ends a freeze. Returns how long it lasted, if there was one.
-    pub(super) fn thaw(&mut self, now: Micros) -> Option<Micros> {
+    pub(super) fn unfreeze(&mut self, now: Micros) -> Option<Micros> {
         self.frozen_since.take().map(|since| now - since)
     }
 
@@ -72,12 +72,12 @@
         self.slowdown = factor;
     }
 
-    pub(super) fn set_error_rate(&mut self, part: f64) {
-        self.error_rate = part;
+    pub(super) fn set_error_rate(&mut self, fraction: f64) {
+        self.error_rate = fraction;
     }
 
-    pub(super) fn set_loss_rate(&mut self, part: f64) {
-        self.loss_rate = part;
+    pub(super) fn set_loss_rate(&mut self, fraction: f64) {
+        self.loss_rate = fraction;
     }
 
     pub(super) fn set_not_accepting(&mut self, on: bool) {
@@ -88,7 +88,7 @@
         self.full = on;
     }
 
-    /// Ends the faults that belong to a process. Errors, lost answers and a full store outlive it.
+    /// Ends the faults of the previous process. Errors, lost answers and a full store outlive a process.
     pub(super) fn on_restart(&mut self) {
         self.silent = false;
         self.frozen_since = None;
@@ -112,17 +112,17 @@
         self.full
     }
 
-    /// Multiple of the usual work.
+    /// Returns the factor by which commands take longer than usual.
     pub(super) fn slowdown(&self) -> f64 {
         self.slowdown
     }
 
-    /// Part of the commands that fail at once.
+    /// Returns the fraction of commands that fail at once.
     pub(super) fn error_rate(&self) -> f64 {
         self.error_rate
     }
 
-    /// Part of the answers that are never sent.
+    /// Returns the fraction of answers that are never sent.
     pub(super) fn loss_rate(&self) -> f64 {
         self.loss_rate
     }
--- a/crates/stand-ins/src/node/queue.rs
+++ b/crates/stand-ins/src/node/queue.rs
@@ -1,27 +1,27 @@
-//! Queue of a stand-in node: commands wait for a core and run for their work.
+//! Command queue of a stand-in node: commands wait for a core, and occupy it for the time that their work takes.
 use super::transfer::{TaskRef, Transfer};
 use mallowseam_audit::trace::Micros;
 use std::collections::VecDeque;
 
-/// A read or write that waits or runs.
+/// Read or write that waits or runs.
 pub(super) struct QueuedCommand {
     pub(super) origin: TaskRef,
     pub(super) lun: u32,
     pub(super) transfer: Transfer,
     pub(super) data: Vec<u8>,
-    /// Microseconds on one warm core.
+    /// Work of the command, in microseconds on one core at full speed.
     pub(super) work: f64,
-    /// It was aborted: the work goes on without an answer.
+    /// Whether the command was aborted; it is then executed without an answer.
     pub(super) orphan: bool,
 }
 
-/// A command on a core.
+/// Command that occupies a core until it is due.
 struct Running {
     due: Micros,
     command: QueuedCommand,
 }
 
-/// Commands that wait for a core, and those that have one.
+/// Commands that wait for a core, and commands that run on one.
 pub(super) struct CommandQueue {
     cores: usize,
     capacity: usize,
@@ -30,7 +30,7 @@
 }
 
 impl CommandQueue {
-    /// `capacity`: commands that may wait.
+    /// Creates an empty queue. `capacity` is the maximum number of waiting commands.
     pub(super) fn new(cores: usize, capacity: usize) -> Self {
         CommandQueue {
             cores,
@@ -48,8 +48,8 @@
         self.waiting.push_back(command);
     }
 
-    /// Takes out the next command that waits, if a core is free for it.
-    pub(super) fn next_for_core(&mut self) -> Option<QueuedCommand> {
+    /// Removes and returns the next waiting command, if a core is free for it.
+    pub(super) fn take_startable(&mut self) -> Option<QueuedCommand> {
         if self.running.len() < self.cores {
             self.waiting.pop_front()
         } else {
@@ -57,23 +57,23 @@
         }
     }
 
-    /// Runs a command until a time.
+    /// Runs a command on a core until it is due.
     pub(super) fn run(&mut self, command: QueuedCommand, due: Micros) {
         self.running.push(Running { due, command });
     }
 
-    /// Takes out a command whose work is done.
+    /// Removes and returns a command that is due.
     pub(super) fn take_due(&mut self, now: Micros) -> Option<QueuedCommand> {
         let done = self.running.iter().position(|r| r.due <= now)?;
         Some(self.running.swap_remove(done).command)
     }
 
-    /// When the first running command is due.
+    /// Returns when the first running command is due.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.running.iter().map(|r| r.due).min()
     }
 
-    /// Running commands end this much later.
+    /// Postpones the end of all running commands.
     pub(super) fn postpone(&mut self, pause: Micros) {
         self.running.iter_mut().for_each(|r| r.due += pause);
     }
@@ -84,7 +84,7 @@
             .any(|r| r.command.lun == lun && r.command.transfer.write)
     }
 
-    /// Aborts a command: one that waits is dropped, one that runs goes on without an answer.
+    /// Aborts a command. A waiting command is removed; a running one continues without an answer.
     pub(super) fn abort(&mut self, aborted: TaskRef) {
         self.waiting.retain(|command| command.origin != aborted);
         self.running
@@ -94,7 +94,7 @@
             .for_each(|command| command.orphan = true);
     }
 
-    /// A command gets no answer any more, whether it waits or runs, and is executed nevertheless.
+    /// Marks a waiting or running command as aborted. It is still executed, but has no answer.
     pub(super) fn orphan(&mut self, aborted: TaskRef) {
         let running = self.running.iter_mut().map(|r| &mut r.command);
         running
--- a/crates/stand-ins/src/node/server.rs
+++ b/crates/stand-ins/src/node/server.rs
@@ -26,10 +26,10 @@
 /// Longest wait of the event loop, in microseconds.
 const MAX_WAIT: Micros = 100_000;
 const EVENT_CAPACITY: usize = 256;
-/// Microseconds of one tick of the connections' clock.
+/// Length of one tick of the connections' clock, in microseconds.
 const TICK: Micros = 100;
 
-/// What a server is made of, before it has a thread.
+/// Parts of a server, which are moved to its thread.
 pub(super) struct ServerSetup {
     pub(super) index: u32,
     pub(super) address: SocketAddr,
@@ -42,13 +42,13 @@
     pub(super) lifecycle: Arc<Mutex<Lifecycle>>,
 }
 
-/// A node's state, which outlives its simulated process where a disk would.
+/// State of a node. Stored data outlives the simulated process, as on a disk.
 pub(super) struct Server {
     index: u32,
     address: SocketAddr,
     poll: Poll,
     connections: Connections,
-    /// None while the process is down.
+    /// Listening socket; none while the process is down.
     listener: Option<TcpListener>,
     model: ServiceModel,
     trace: Trace,
@@ -92,7 +92,7 @@
     pub(super) fn run(&mut self, faults: &Receiver<NodeFault>) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
-            // An interrupted wait is like an early one.
+            // An interrupted wait is like one that ends early.
             let _ = self.poll.poll(&mut events, Some(self.wait()));
             while let Ok(fault) = faults.try_recv() {
                 if fault == NodeFault::Stop {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Time until the first running command is due.
+    /// Returns the time until the first running command is due.
     fn wait(&self) -> Duration {
         if self.faults.is_frozen() {
             return Duration::from_micros(MAX_WAIT);
@@ -153,7 +153,7 @@
 
     fn accept(&mut self) {
         let now = self.ticks();
-        // The id of a closed connection is used again: that it closed is recorded first.
+        // Client ids are reused, so closed connections are recorded before new ones are accepted.
         self.record_closed();
         if let Some(listener) = &self.listener {
             self.connections.accept(listener, now);
--- a/crates/stand-ins/src/node/server/commands.rs
+++ b/crates/stand-ins/src/node/server/commands.rs
@@ -1,4 +1,4 @@
-//! SCSI commands of a stand-in node: received, executed and answered.
+//! Reception, execution and answers of the SCSI commands of a stand-in node.
 use super::Server;
 use crate::node::queue::QueuedCommand;
 use crate::node::transfer::{TaskRef, Transfer};
@@ -6,10 +6,10 @@
 use mallowseam_iscsi::scsi::{self, Command, LogicalUnit, Sense, status};
 use rand::RngExt;
 
-/// Work in microseconds below which a command completes at once.
+/// Shortest work that occupies a core, in microseconds; a command with less work completes at once.
 const MIN_WORK: f64 = 1.0;
 
-/// The logical unit that a node presents whatever its number.
+/// Logical unit that a node presents under every logical unit number.
 const LOGICAL_UNIT: LogicalUnit<'static> = LogicalUnit {
     blocks: 1 << 40,
     block_size: 512,
@@ -35,10 +35,10 @@
                     lba,
                     allocation_len,
                 }) => {
-                    self.report_mapped(origin, lun, lba, allocation_len);
+                    self.report_lba_status(origin, lun, lba, allocation_len);
                 }
                 Ok(Command::Unmap) => self.unmap(origin, lun, &data),
-                other => self.report_unit(origin, read_len, &other),
+                other => self.report_logical_unit(origin, read_len, &other),
             },
         }
     }
@@ -70,7 +70,8 @@
         });
     }
 
-    /// Queues an aborted command that may have been started before its abort.
+    /// Queues a command that was aborted while the node was silent and may have been started before. It is executed
+    /// without an answer.
     pub(super) fn queue_orphan(
         &mut self,
         origin: TaskRef,
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Sets or clears write protection. Set, it is answered once running writes are over, so that none lands later.
+    /// Sets or clears write protection. Setting it is answered once all running writes have ended, so that none is
+    /// stored later.
     fn set_write_protect(&mut self, origin: TaskRef, lun: u32, data: &[u8]) {
         match scsi::parse_write_protect(data) {
             Some(true) => {
@@ -110,26 +112,31 @@
     }
 
     fn unmap(&mut self, origin: TaskRef, lun: u32, data: &[u8]) {
-        let Some(runs) = scsi::parse_unmap(data) else {
+        let Some(ranges) = scsi::parse_unmap(data) else {
             return self.fail(origin, Sense::INVALID_FIELD_IN_CDB);
         };
-        self.store.unmap(lun, runs);
+        self.store.unmap(lun, ranges);
         if let Some(connection) = self.connections.connection_mut(origin.client) {
             connection.complete(origin.task, &[]);
         }
     }
 
-    /// Reports the runs of stored blocks from an address on.
-    fn report_mapped(&mut self, origin: TaskRef, lun: u32, from: u64, allocation_len: usize) {
-        let runs = self.store.stored_runs(lun, from);
-        let data = scsi::lba_status_data(&runs, allocation_len);
+    /// Answers with the ranges of stored blocks from an address on.
+    fn report_lba_status(&mut self, origin: TaskRef, lun: u32, from: u64, allocation_len: usize) {
+        let ranges = self.store.stored_ranges(lun, from);
+        let data = scsi::lba_status_data(&ranges, allocation_len);
         if let Some(connection) = self.connections.connection_mut(origin.client) {
             connection.complete(origin.task, &data);
         }
     }
 
     /// Answers the commands that describe the logical unit.
-    fn report_unit(&mut self, origin: TaskRef, read_len: usize, command: &Result<Command, Sense>) {
+    fn report_logical_unit(
+        &mut self,
+        origin: TaskRef,
+        read_len: usize,
+        command: &Result<Command, Sense>,
+    ) {
         let data = match command {
             Ok(Command::TestUnitReady | Command::SynchronizeCache { .. }) => Some(Vec::new()),
             Ok(Command::Inquiry { page, .. }) => LOGICAL_UNIT.inquiry(*page),
@@ -145,7 +152,7 @@
         }
     }
 
-    /// Fails a command without a record of it.
+    /// Fails a command, and records nothing in the trace.
     fn fail(&mut self, origin: TaskRef, sense: Sense) {
         if let Some(connection) = self.connections.connection_mut(origin.client) {
             connection.complete_with_status(
@@ -157,9 +164,9 @@
         }
     }
 
-    /// Answers a read or write, and records the answer.
+    /// Answers a command, and records the answer in the trace.
     fn answer(&mut self, origin: TaskRef, status: u8, data: &[u8]) {
-        // The client id may belong to another connection by now.
+        // Another connection may have the client id by now.
         if !self.connections.is_open(origin) {
             return;
         }
@@ -182,7 +189,7 @@
         }
     }
 
-    /// Completes what is due, and starts what has a core.
+    /// Completes the commands that are due, and starts waiting commands on free cores.
     pub(super) fn serve(&mut self) {
         if self.faults.is_frozen() {
             return;
@@ -191,14 +198,14 @@
         while let Some(done) = self.queue.take_due(now) {
             self.finish(&done);
         }
-        while let Some(command) = self.queue.next_for_core() {
+        while let Some(command) = self.queue.take_startable() {
             self.start(command, now);
         }
     }
 
     fn start(&mut self, command: QueuedCommand, now: Micros) {
         if command.transfer.write && self.protection.is_protected(command.lun) {
-            return self.reject_protected(&command);
+            return self.reject_write_protected(&command);
         }
         let speed = self.lifecycle().speed_fraction(now, &self.model);
         let work = command.work * self.faults.slowdown() / speed;
@@ -209,11 +216,11 @@
         }
     }
 
-    fn reject_protected(&mut self, command: &QueuedCommand) {
+    fn reject_write_protected(&mut self, command: &QueuedCommand) {
         if command.orphan || !self.connections.is_open(command.origin) {
             return;
         }
-        // It has not run and never will, so that it counts as rejected.
+        // The command is not executed, so the trace shows it as rejected.
         self.trace.record(TraceEvent::NodeAnswered {
             node: self.index,
             connection: command.origin.connection,
@@ -244,7 +251,8 @@
         }
     }
 
-    /// Counts what a node in slow start receives; true once it has crashed from overload.
+    /// Counts the units that a node in slow start receives. Returns true if they overloaded it, in which case it has
+    /// crashed.
     fn overload(&mut self, units: f64) -> bool {
         let lifecycle = *self.lifecycle();
         let now = self.trace.now();
--- a/crates/stand-ins/src/node/server/events.rs
+++ b/crates/stand-ins/src/node/server/events.rs
@@ -1,5 +1,5 @@
-//! What comes in on the connections of a stand-in node: recorded at once, and processed at once or once it is no longer
-//! silent.
+//! Events on the connections of a stand-in node. They are recorded when they arrive; a silent node processes them once
+//! it is no longer silent.
 use super::Server;
 use crate::node::connections::Session;
 use crate::node::deferred::DeferredEvent;
@@ -9,7 +9,7 @@
 use mallowseam_iscsi::target::TargetEvent;
 
 impl Server {
-    /// Records an event when it is read off the socket. A silent node processes it later.
+    /// Records an event when it is read from the socket. A silent node processes it later.
     pub(super) fn on_event(&mut self, client: u32, event: TargetEvent) {
         if let TargetEvent::LoggedIn(who) = &event {
             return self.connections.on_login(client, &who.initiator);
@@ -78,8 +78,8 @@
         });
     }
 
-    /// An abort that a silent node reads. The connection gives the task's place to the next command, so the task
-    /// must not be answered any more, whatever is done of it.
+    /// Handles an abort that a silent node reads. The connection reuses the place of the aborted task for the next
+    /// command, so the task must have no answer, even if it is executed.
     fn abort_silently(&mut self, aborted: TaskRef) {
         self.queue.orphan(aborted);
         self.deferred.abort(aborted);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Processes what came in while the node was silent.
+    /// Processes the events that arrived while the node was silent.
     pub(super) fn process_deferred(&mut self) {
         while let Some(DeferredEvent {
             client,
@@ -120,7 +120,7 @@
         }) = self.deferred.pop()
         {
             match event {
-                // It may have been started before its abort was read: it runs without an answer.
+                // The command may have been started before its abort was read, so it is executed without an answer.
                 TargetEvent::Command {
                     task,
                     lun,
--- a/crates/stand-ins/src/node/server/lifecycle.rs
+++ b/crates/stand-ins/src/node/server/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Faults of a stand-in node as they begin and end, and the crash and restart of its process.
+//! Begin and end of the faults of a stand-in node, and crash and restart of its process.
 use super::Server;
 use crate::node::connections::FIRST_CONNECTION;
 use crate::node::faults::NodeFault;
@@ -7,8 +7,9 @@
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Tries to bind the address again after a restart, and the pause between them.
+/// Maximum number of attempts to bind the address again after a restart.
 const BIND_ATTEMPTS: u32 = 100;
+/// Pause between two attempts to bind the address.
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
 impl Server {
@@ -21,10 +22,10 @@
                 }
             }
             NodeFault::Frozen(true) => self.faults.freeze(self.trace.now()),
-            NodeFault::Frozen(false) => self.thaw(),
-            NodeFault::Slow(times) => self.faults.set_slowdown(times),
-            NodeFault::Errors(part) => self.faults.set_error_rate(part),
-            NodeFault::LoseAnswers(part) => self.faults.set_loss_rate(part),
+            NodeFault::Frozen(false) => self.unfreeze(),
+            NodeFault::Slow(factor) => self.faults.set_slowdown(factor),
+            NodeFault::Errors(fraction) => self.faults.set_error_rate(fraction),
+            NodeFault::LoseAnswers(fraction) => self.faults.set_loss_rate(fraction),
             NodeFault::NotAccepting(on) => self.faults.set_not_accepting(on),
             NodeFault::Full(on) => self.faults.set_full(on),
             NodeFault::Reset => self.close_connections(),
@@ -40,9 +41,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What was running goes on where it stood.
-    fn thaw(&mut self) {
-        if let Some(pause) = self.faults.thaw(self.trace.now()) {
+    /// Resumes execution. Running commands are due later by the duration of the pause.
+    fn unfreeze(&mut self) {
+        if let Some(pause) = self.faults.unfreeze(self.trace.now()) {
             self.queue.postpone(pause);
         }
     }
@@ -77,7 +78,7 @@
         self.trace.record(TraceEvent::NodeUp { node: self.index });
     }
 
-    /// The address may still be held for a moment by the process before.
+    /// Binds the address again, with retries: the previous process may still hold it for a short time.
     fn bind_again(&mut self) {
         for _ in 0..BIND_ATTEMPTS {
             if let Ok(listener) = listen(self.address, &self.poll) {
--- a/crates/stand-ins/src/node/slow_start.rs
+++ b/crates/stand-ins/src/node/slow_start.rs
@@ -1,19 +1,19 @@
-//! What a stand-in node receives while it is in slow start, and whether it bears that.
+//! Load of a stand-in node in slow start, and overload by it.
 use super::Lifecycle;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Micros;
 use std::collections::VecDeque;
 
-/// Overload of a node in slow start.
+/// Load that a node received in its slow start, and whether it was overloaded.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    /// Units received within the window, with their times.
+    /// Times and units of the commands received within the overload window.
     received: VecDeque<(Micros, f64)>,
     overloaded: bool,
 }
 
 impl SlowStart {
-    /// Counts units that a node receives. True if they overload it.
+    /// Counts units that a node receives. Returns whether they overload it.
     pub(super) fn receive(
         &mut self,
         units: f64,
@@ -38,12 +38,12 @@
         false
     }
 
-    /// Whether the node crashed from overload: it stays down.
+    /// Returns whether the node crashed from overload. Such a node stays down.
     pub(super) fn is_overloaded(&self) -> bool {
         self.overloaded
     }
 
-    /// A new process has received nothing.
+    /// Clears the load: a new process has received nothing.
     pub(super) fn on_restart(&mut self) {
         self.received.clear();
     }
--- a/crates/stand-ins/src/node/transfer.rs
+++ b/crates/stand-ins/src/node/transfer.rs
@@ -1,11 +1,11 @@
-//! Reads and writes as a stand-in node's sockets bring them.
+//! Reads and writes that a stand-in node receives.
 use mallowseam_audit::block;
 use mallowseam_iscsi::scsi::{self, Command};
 
-/// Where a command came from, and its task tag there.
+/// Origin of a command: client, connection and task tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TaskRef {
-    /// Id of the client, which another connection may have later.
+    /// Id of the client. Another connection may have the same id later.
     pub(super) client: u32,
     /// Number of the connection, unique at the node.
     pub(super) connection: u64,
@@ -13,7 +13,7 @@
     pub(super) task: u32,
 }
 
-/// A read or write as its command block says.
+/// Read or write, as parsed from its command descriptor block.
 #[derive(Clone, Copy)]
 pub(super) struct Transfer {
     pub(super) write: bool,
@@ -23,7 +23,7 @@
 }
 
 impl Transfer {
-    /// None for a command that is neither a read nor a write.
+    /// Parses a command descriptor block. Returns none for a command that is neither a read nor a write.
     pub(super) fn parse(cdb: &[u8; 16]) -> Option<Transfer> {
         let (write, lba, blocks, group_number) = match scsi::parse_cdb(cdb) {
             Ok(Command::Read {
--- a/crates/stand-ins/src/node/write_protection.rs
+++ b/crates/stand-ins/src/node/write_protection.rs
@@ -1,16 +1,16 @@
-//! Write protection of a stand-in node's logical units. A request to protect one is answered once its running writes
-//! are over, so that none lands later.
+//! Write protection of the logical units of a stand-in node. A request to protect one is answered once its running
+//! writes have ended, so that no write is stored after the answer.
 use super::queue::CommandQueue;
 use super::transfer::TaskRef;
 use std::collections::HashSet;
 
-/// A request for write protection that waits for running writes.
+/// Request for write protection that waits for running writes.
 struct PendingProtect {
     origin: TaskRef,
     lun: u32,
 }
 
-/// Which logical units are protected, and which requests for it have no answer yet.
+/// Protected logical units, and pending requests for protection.
 #[derive(Default)]
 pub(super) struct WriteProtection {
     protected: HashSet<u32>,
@@ -31,7 +31,7 @@
         self.protected.remove(&lun);
     }
 
-    /// Takes out the requests whose logical unit has no running writes left.
+    /// Removes and returns the requests whose logical unit has no running writes left.
     pub(super) fn take_complete(&mut self, queue: &CommandQueue) -> Vec<TaskRef> {
         self.pending
             .extract_if(.., |pending| !queue.has_running_write(pending.lun))
@@ -39,7 +39,7 @@
             .collect()
     }
 
-    /// Requests of a process that ended get no answer; what it had protected stays so.
+    /// Discards pending requests when the process ends. Protected logical units stay protected.
     pub(super) fn discard_pending(&mut self) {
         self.pending.clear();
     }
--- a/crates/stand-ins/src/simulated_node.rs
+++ b/crates/stand-ins/src/simulated_node.rs
@@ -1,71 +1,71 @@
-//! A node as a model: it serves at a set speed, charges for new connections and accepts few of them, is cold after a
-//! start, and collapses when the load within a time span exceeds what a cold node sustains.
+//! Model of a node. It serves requests at a configured speed, spends work on new connections and limits their number,
+//! is cold after a start, and collapses when the load within a window exceeds what a cold node sustains.
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Micros;
 use std::collections::VecDeque;
 
-/// Limits of a node beside its speed.
+/// Limits of a node beyond its service model.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeLimits {
-    /// Connections that it serves; requests on further ones are rejected.
+    /// Maximum number of connections that are served; requests on further ones are rejected.
     pub max_connections: usize,
-    /// Work of a new connection's first request, in microseconds.
+    /// Additional work of the first request on a connection, in microseconds.
     pub handshake: Micros,
-    /// Microseconds for which a collapsed node is down.
+    /// Downtime of a collapsed node, in microseconds.
     pub restart_after: Micros,
 }
 
-/// A request at a node; `C` identifies its connection.
+/// Request at a node; `C` identifies its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeRequest<C> {
-    /// The connection that it came on.
+    /// Connection that the request arrived on.
     pub connection: C,
-    /// The operation.
+    /// Identifier of the operation.
     pub operation: u64,
-    /// Its size.
+    /// Size of the request, in units.
     pub units: f64,
-    /// It is the first request on its connection.
+    /// Whether the request is the first one on its connection.
     pub first_on_connection: bool,
-    /// Its connection was above the node's limit when it was opened.
+    /// Whether the connection exceeded the node's limit when it was opened.
     pub over_limit: bool,
 }
 
-/// What becomes of a request when it arrives.
+/// Outcome of the arrival of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It will be executed.
+    /// The request will be executed.
     Queued,
-    /// It is rejected and not executed.
+    /// The request is rejected and not executed.
     Rejected,
-    /// The node collapses under it, and all connections are lost.
+    /// The request makes the node collapse, and all connections are lost.
     Collapsed,
 }
 
-/// The state of one node.
+/// State of one node.
 pub struct SimulatedNode<C> {
     model: ServiceModel,
     limits: NodeLimits,
-    /// Factor by which it is slower than usual.
+    /// Factor by which the node is slower than usual.
     pub slowdown: f64,
-    /// When it was started; none: long ago.
+    /// When the node was started; none if its slow start ended before the run.
     started_at: Option<Micros>,
-    /// When its downtime ends.
+    /// When the downtime of the node ends.
     down_until: Option<Micros>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: usize,
     queue: VecDeque<NodeRequest<C>>,
-    /// Requests being executed, and when each is completed.
+    /// Requests being executed, each with the time at which it is completed.
     running: Vec<(Micros, NodeRequest<C>)>,
-    /// Arrival times and sizes of requests within the model's collapse span.
+    /// Arrival times and units of the requests within the overload window.
     recent: VecDeque<(Micros, f64)>,
-    /// Collapses so far.
+    /// Number of collapses so far.
     pub collapses: u64,
-    /// The highest load within a collapse span while cold, as a fraction of what the node sustained.
+    /// Highest load within an overload window while cold, as a fraction of the load that the node sustained.
     pub peak_cold_load: f64,
 }
 
 impl<C: Copy + PartialEq> SimulatedNode<C> {
-    /// A node that was started long ago.
+    /// Creates a warm node without connections and requests.
     pub fn new(model: ServiceModel, limits: NodeLimits) -> Self {
         SimulatedNode {
             model,
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Whether it is not in a downtime.
+    /// Returns whether the node is not in a downtime.
     pub fn is_up(&self, now: Micros) -> bool {
         self.down_until.is_none_or(|until| now >= until)
     }
 
-    /// Starts or restarts it: cold, without connections and requests.
+    /// Starts or restarts the node: cold, without connections and requests.
     pub fn start(&mut self, now: Micros) {
         self.started_at = Some(now);
         self.down_until = None;
@@ -97,7 +97,7 @@
         self.recent.clear();
     }
 
-    /// Stops it until it is started.
+    /// Stops the node until it is started.
     pub fn stop(&mut self) {
         self.start(0);
         self.down_until = Some(Micros::MAX);
@@ -108,18 +108,18 @@
             .map_or(Micros::MAX / 2, |started_at| now.saturating_sub(started_at))
     }
 
-    /// Its speed as a fraction of a warm node's.
+    /// Returns the speed of the node as a fraction of a warm node's speed.
     pub fn speed_fraction(&self, now: Micros) -> f64 {
         self.model.speed_fraction(self.age(now))
     }
 
-    /// A connection was opened. Returns whether it is above the limit.
+    /// Counts a connection that was opened. Returns whether it exceeds the limit.
     pub fn connection_opened(&mut self) -> bool {
         self.connections += 1;
         self.connections > self.limits.max_connections
     }
 
-    /// A whole request has arrived.
+    /// Handles the arrival of a complete request.
     pub fn receive(&mut self, now: Micros, request: NodeRequest<C>) -> Arrival {
         if self.collapses_under(now, request.units) {
             self.collapses += 1;
@@ -135,7 +135,7 @@
         Arrival::Queued
     }
 
-    /// Adds a request to the recent load, and tells whether a cold node collapses under it.
+    /// Adds a request to the recent load. Returns whether a cold node collapses under it.
     fn collapses_under(&mut self, now: Micros, units: f64) -> bool {
         let age = self.age(now);
         if age > self.model.warm_up || self.model.overload_window == 0 {
@@ -171,12 +171,12 @@
         }
     }
 
-    /// When the next request is completed.
+    /// Returns when the next request is completed.
     pub fn next_due(&self) -> Option<Micros> {
         self.running.iter().map(|(due, _)| *due).min()
     }
 
-    /// Takes the next request that is completed by now, and starts queued ones in its place.
+    /// Removes and returns the next request that is completed by now, and starts queued ones on the free core.
     pub fn complete_next(&mut self, now: Micros) -> Option<NodeRequest<C>> {
         let index = (0..self.running.len()).min_by_key(|i| self.running[*i].0)?;
         let completed_at = self.running[index].0;
@@ -188,7 +188,7 @@
         Some(request)
     }
 
-    /// A connection was closed: its queued requests are not executed.
+    /// Removes the queued requests of a connection that was closed; they are not executed.
     pub fn connection_closed(&mut self, connection: C) {
         self.queue
             .retain(|request| request.connection != connection);
--- a/crates/stand-ins/tests/links.rs
+++ b/crates/stand-ins/tests/links.rs
@@ -1,4 +1,5 @@
-//! Faults of links: who they apply to, and what becomes of bytes.
+//! Faults of links. A fault could apply to the wrong peers or direction, or bytes could be lost, reordered or delivered
+//! early.
 use mallowseam_stand_ins::links::{
     ConnectOutcome, LinkFault, Links, Peer, PeerSet, Pipe, PipeOutput,
 };
@@ -21,8 +22,16 @@
     let (even, odd, list) = (Peer::Host(2), Peer::Host(3), Peer::List(0));
     assert_eq!(links.fault_between(list, even), slow);
     assert_eq!(links.fault_between(even, list), LinkFault::default());
-    assert_eq!(links.fault_between(odd, list), cut, "one direction is cut");
-    assert_eq!(links.fault_between(list, odd), slow, "the other is slow");
+    assert_eq!(
+        links.fault_between(odd, list),
+        cut,
+        "one direction is blackholed"
+    );
+    assert_eq!(
+        links.fault_between(list, odd),
+        slow,
+        "the other direction is slow"
+    );
     assert_eq!(links.connect_outcome(odd, list), ConnectOutcome::Blackholed);
     assert_eq!(links.connect_outcome(even, list), ConnectOutcome::Accepted);
     links.set(PeerSet::Zone(1), PeerSet::Lists, LinkFault::default());
@@ -30,7 +39,7 @@
 }
 
 #[test]
-fn bytes_are_delayed_in_order_held_back_and_cut_off() {
+fn bytes_are_delayed_in_order_blackholed_cut_off_and_throttled() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut pipe = Pipe::default();
     let late = LinkFault {
--- a/crates/stand-ins/tests/pinned.rs
+++ b/crates/stand-ins/tests/pinned.rs
@@ -1,5 +1,5 @@
-//! Pinned results of the stand-ins, as the code gave them before its names and modules changed. A pin that fails means
-//! that a decision, a constant or a random draw has changed.
+//! Pinned results of the stand-ins. A test that fails means that a decision, a constant or a random draw has changed,
+//! so that seeded runs are no longer reproducible.
 use mallowseam_audit::block;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
@@ -35,10 +35,10 @@
     }
 }
 
-/// Last bytes of the nodes' addresses: each test program has its own.
+/// First value of the last byte of the nodes' addresses. Each test program has its own range.
 const FIRST_ADDRESS: u8 = 200;
 
-/// An address of this process and this number.
+/// Returns a loopback address that only this process uses under this number.
 fn address(number: u8) -> SocketAddr {
     let process = std::process::id();
     let network = 100 + (process >> 8) as u8 % 60;
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn failures_of_a_node_by_its_seed() {
+fn failures_of_a_node_by_its_seed_are_unchanged() {
     let mut out = String::new();
     for seed in 1..4u64 {
         let address = address(seed as u8);
         let model = ServiceModel::warm(2, 0.5, 64);
-        let node =
-            Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
-        // Faults are taken up before anything that is sent after them.
+        let node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed)
+            .expect("a running node");
+        // The node applies a fault before it reads anything that is sent later.
         node.inject(NodeFault::Errors(0.3));
         let mut client = BlockingClient::open(address, Some("iqn.t"), 1).expect("a login");
         for i in 0..300u64 {
@@ -66,9 +66,9 @@
             let answer = client
                 .execute(0, &read_or_write_16(write, lba, 8, 0), 4096, data)
                 .expect("an answer");
-            write!(out, "{:x}", answer.status).expect("memory");
+            write!(out, "{:x}", answer.status).expect("writing to a string succeeds");
             out.extend(answer.data.chunks(block::SIZE).zip(lba..).map(|(b, at)| {
-                let id = block::read(b, at).expect("one write's bytes");
+                let id = block::read(b, at).expect("the data of one write");
                 format!(" {id}")
             }));
             out.push('\n');
@@ -79,7 +79,7 @@
     assert_eq!(
         digest.value(),
         0x9035_2937_e099_169f,
-        "text begins\n{}",
+        "the text begins with\n{}",
         &out[..out.len().min(600)]
     );
 }
@@ -108,15 +108,19 @@
 }
 
 fn draw_fault(rng: &mut Pcg64Mcg) -> LinkFault {
-    let mut some = |most: u64| {
+    let mut draw_or_zero = |max: u64| {
         if rng.random_bool(0.4) {
-            rng.random_range(0..most)
+            rng.random_range(0..max)
         } else {
             0
         }
     };
-    let (latency, jitter, rate, reset_after_bytes) =
-        (some(5_000), some(3_000), some(900_000), some(2_000));
+    let (latency, jitter, rate, reset_after_bytes) = (
+        draw_or_zero(5_000),
+        draw_or_zero(3_000),
+        draw_or_zero(900_000),
+        draw_or_zero(2_000),
+    );
     LinkFault {
         latency,
         jitter,
@@ -130,19 +134,19 @@
 }
 
 #[test]
-fn faults_of_links_are_decided_as_recorded() {
+fn faults_between_peers_are_unchanged() {
     let mut digest = Digest::default();
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut links = Links::new(3);
         for _ in 0..30 {
             let (from, to) = (draw_peer_set(&mut rng), draw_peer_set(&mut rng));
-            let set = if rng.random_bool(0.3) {
+            let fault = if rng.random_bool(0.3) {
                 LinkFault::default()
             } else {
                 draw_fault(&mut rng)
             };
-            links.set(from, to, set);
+            links.set(from, to, fault);
             for _ in 0..10 {
                 let (from, to) = (draw_peer(&mut rng), draw_peer(&mut rng));
                 add_link_fault(&mut digest, &links.fault_between(from, to));
@@ -158,23 +162,23 @@
 }
 
 #[test]
-fn bytes_pass_a_link_as_recorded() {
+fn delivery_of_bytes_is_unchanged() {
     let mut digest = Digest::default();
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut pipe = Pipe::default();
-        let mut set = draw_fault(&mut rng);
+        let mut fault = draw_fault(&mut rng);
         for step in 0..200u64 {
             let now = step * 40;
             if step % 50 == 49 {
-                set = draw_fault(&mut rng);
+                fault = draw_fault(&mut rng);
             }
             let len = rng.random_range(1..400);
-            pipe.push(now, &vec![step as u8; len], &set, &mut rng);
+            pipe.push(now, &vec![step as u8; len], &fault, &mut rng);
             if step == 190 {
-                pipe.close(now, &set, &mut rng);
+                pipe.close(now, &fault, &mut rng);
             }
-            match pipe.poll(now, &set) {
+            match pipe.poll(now, &fault) {
                 PipeOutput::Nothing => digest.add(0),
                 PipeOutput::Bytes(bytes) => digest.add_bytes(&bytes),
                 PipeOutput::Closed => digest.add(2),
@@ -203,7 +207,7 @@
 }
 
 #[test]
-fn a_simulated_node_serves_and_falls_as_recorded() {
+fn service_and_collapses_of_a_simulated_node_are_unchanged() {
     let mut digest = Digest::default();
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/stand-ins/tests/simulated_node.rs
+++ b/crates/stand-ins/tests/simulated_node.rs
@@ -1,4 +1,4 @@
-//! A node of a fleet as a model: slow start, limits and stops.
+//! Model of a node: slow start, collapse, and the limits of its queue and connections.
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_stand_ins::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
 
@@ -38,13 +38,17 @@
         ..request(1, 1.0)
     };
     assert_eq!(node.receive(0, first), Arrival::Queued);
-    assert_eq!(node.next_due(), Some(15_000), "work and handshake, warm");
+    assert_eq!(
+        node.next_due(),
+        Some(15_000),
+        "work and handshake of a warm node"
+    );
     node.start(0);
     assert_eq!(
         (node.receive(0, request(1, 1.0)), node.next_due()),
         (Arrival::Queued, Some(40_000))
     );
-    // It sustains four times a quarter of 100 units a second, for two seconds.
+    // The node sustains four times a quarter of 100 units per second, over two seconds.
     let collapsed = (1..400).find(|n| node.receive(*n, request(1, 1.0)) == Arrival::Collapsed);
     assert!(
         collapsed.is_some_and(|n| (199..=201).contains(&n)),
