--- a/crates/load/src/client_load.rs
+++ b/crates/load/src/client_load.rs
@@ -1,93 +1,94 @@
-//! Clients as a model: which volume issues which operation through which host and when, with a skewed distribution,
-//! and how rejected operations are retried.
+//! Model of the clients of a fleet: times, volumes, sizes and hosts of their operations, with a skewed distribution
+//! over volumes, and retries of rejected operations.
 use mallowseam_audit::fleet::terms::has_limit;
 use mallowseam_audit::trace::Micros;
 use rand::{Rng, RngExt};
 
-/// How clients behave. Times in microseconds.
+/// Behaviour of the clients. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadProfile {
-    /// Block I/Os a second, of all volumes.
+    /// Block I/Os per second, over all volumes.
     pub operations_per_second: f64,
-    /// Fraction of writes.
+    /// Fraction of the operations that are writes.
     pub write_fraction: f64,
     /// Number of volumes.
     pub volumes: u32,
-    /// The heaviest volumes issue so many times the mean.
+    /// Upper bound of the weight of a volume, as a multiple of the smallest weight.
     pub skew: f64,
-    /// Retries of a rejected operation.
+    /// Maximum number of retries of a rejected operation.
     pub max_retries: u32,
-    /// Clients wait before a retry.
+    /// Whether clients wait before a retry.
     pub backs_off: bool,
     /// Time until the deadline of a read.
     pub read_timeout: Micros,
     /// Time until the deadline of a write.
     pub write_timeout: Micros,
-    /// Size of the largest operation.
+    /// Size of the largest operation, in units.
     pub max_units: u32,
 }
 
-/// One block I/O of a client.
+/// Block I/O of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Operation {
-    /// Identifier; a retry has a new one.
+    /// Identifier of the operation; a retry has a new one.
     pub id: u64,
-    /// Its volume.
+    /// Volume of the operation.
     pub volume: u32,
-    /// Extent of the volume; volume and extent are the key that writes are ordered by.
+    /// Extent within the volume. Volume and extent are the ordering key of writes.
     pub extent: u64,
-    /// A write; otherwise a read.
+    /// Whether the operation is a write; otherwise it is a read.
     pub write: bool,
-    /// Its size.
+    /// Size of the operation, in units.
     pub units: u32,
-    /// Shard of its key.
+    /// Shard of the ordering key.
     pub shard: u32,
-    /// Number of hosts that its volume uses.
+    /// Number of hosts that the volume uses.
     pub hosts: u32,
-    /// Time until its deadline.
+    /// Time until the deadline of the operation, in microseconds.
     pub timeout: Micros,
-    /// Times that it was rejected before.
+    /// Number of earlier rejections of the operation.
     pub retries: u32,
 }
 
-/// One volume.
+/// Volume of the clients.
 pub struct Volume {
-    /// The hosts that it uses.
+    /// Hosts that the volume uses.
     pub hosts: Vec<u32>,
-    /// Sum of the weights up to and with this volume.
+    /// Sum of the weights of the volumes up to and including this one.
     cumulative_weight: f64,
-    /// It is on the plan with a limit.
+    /// Whether the volume is on the limited plan.
     pub limited: bool,
 }
 
-/// The clients of a run.
+/// Clients of a run.
 pub struct ClientLoad {
     profile: LoadProfile,
     volumes: Vec<Volume>,
     shards: u32,
     next_due: Micros,
     last_id: u64,
-    /// Factor on the usual rate.
+    /// Multiple of the usual rate.
     pub intensity: f64,
 }
 
-/// Extents of a volume: few, so that writes conflict on a key.
+/// Number of extents of a volume. It is small, so that writes of one key overlap.
 const EXTENTS_PER_VOLUME: u64 = 16;
-/// Hosts that one volume uses at most.
+/// Maximum number of hosts that a volume uses.
 const MAX_HOSTS_PER_VOLUME: u32 = 3;
-/// First backoff where the host names no time, doubled with each retry.
+/// Maximum of the first backoff, in microseconds, if the host gives no retry time. It doubles with each retry.
 const FIRST_BACKOFF: Micros = 60_000;
-/// Retries after which the backoff is not doubled any more.
+/// Number of retries after which the backoff no longer doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Chance that an operation is no larger than the size at hand: small ones are frequent.
+/// Probability, at each size from the smallest on, that an operation has this size, so that small operations are
+/// frequent.
 const SMALL_OPERATION_CHANCE: f64 = 0.6;
 
 impl ClientLoad {
-    /// Draws the volumes.
+    /// Creates the clients, with volumes drawn from `rng`.
     pub fn new(profile: LoadProfile, hosts: u32, shards: u32, rng: &mut impl Rng) -> Self {
         let mut cumulative_weight = 0.0;
         let volumes = (0..profile.volumes).map(|volume| {
-            // Squares of uniform draws: a few volumes have several times the mean, many far below it.
+            // Squares of uniform draws: a few volumes have several times the mean weight, and many are far below it.
             cumulative_weight += rng.random::<f64>().powi(2) * (profile.skew - 1.0) + 1.0;
             Volume {
                 hosts: draw_hosts(volume, hosts, rng),
@@ -105,29 +106,29 @@
         }
     }
 
-    /// A volume by its index.
+    /// Returns a volume by its index.
     pub fn volume(&self, volume: u32) -> &Volume {
         &self.volumes[volume as usize]
     }
 
-    /// When the next operation is issued.
+    /// Returns when the next operation is due.
     pub fn next_due(&self) -> Micros {
         self.next_due
     }
 
-    /// Starts or resumes at this time.
+    /// Starts or resumes the load at this time.
     pub fn resume(&mut self, now: Micros) {
         self.next_due = now;
     }
 
-    /// The next operation, if it is due. Gaps are exponentially distributed.
+    /// Returns the next operation, if it is due. The intervals are exponentially distributed.
     pub fn next_operation(&mut self, now: Micros, rng: &mut impl Rng) -> Option<Operation> {
         let rate = self.profile.operations_per_second * self.intensity;
         if rate <= 0.0 || self.next_due > now {
             return None;
         }
-        let gap = -(1.0 - rng.random::<f64>()).ln() / rate * 1e6;
-        self.next_due += (gap as Micros).max(1);
+        let interval = -(1.0 - rng.random::<f64>()).ln() / rate * 1e6;
+        self.next_due += (interval as Micros).max(1);
         let volume = self.draw_volume(rng)?;
         let write = rng.random_bool(self.profile.write_fraction);
         let max_units = self.profile.max_units.max(1);
@@ -156,7 +157,7 @@
         })
     }
 
-    /// A volume, by weight.
+    /// Draws a volume, with probability proportional to its weight.
     fn draw_volume(&self, rng: &mut impl Rng) -> Option<u32> {
         let drawn = rng.random::<f64>() * self.volumes.last()?.cumulative_weight;
         let index = self
@@ -165,7 +166,7 @@
         Some(index.min(self.volumes.len() - 1) as u32)
     }
 
-    /// One of the hosts of an operation's volume that are ready.
+    /// Returns a ready host of an operation's volume; none if no host is ready.
     pub fn choose_host(
         &self,
         operation: &Operation,
@@ -179,8 +180,8 @@
             .find(|host| ready(*host))
     }
 
-    /// The retry of a rejected operation and when it is issued, unless there were enough. `retry_after`: the time that
-    /// the host named.
+    /// Returns the time and the operation of a retry; none if the operation has had its maximum number of retries.
+    /// `retry_after` is the retry time that the host gave.
     pub fn retry(
         &mut self,
         now: Micros,
@@ -211,7 +212,7 @@
     }
 }
 
-/// Hosts of a volume. The first ones are assigned round-robin, so that each host has clients.
+/// Draws the hosts of a volume. The first host is assigned round-robin, so that each host has clients.
 fn draw_hosts(volume: u32, hosts: u32, rng: &mut impl Rng) -> Vec<u32> {
     let first = volume % hosts;
     let count = rng.random_range(1..=MAX_HOSTS_PER_VOLUME.min(hosts));
--- a/crates/load/src/initiators.rs
+++ b/crates/load/src/initiators.rs
@@ -1,5 +1,5 @@
-//! Load: clients that are iSCSI initiators, write to their own accounts and read them back at random times, and
-//! misbehave as a script says. One thread carries all of them.
+//! Clients that are iSCSI initiators. Each writes to regions of its own and reads them back at random times, and
+//! behaves incorrectly when a script says so. All clients run on one thread.
 mod client;
 mod generator;
 
@@ -16,71 +16,73 @@
 const WAKER: Token = Token(0);
 /// Token of the first client's connection.
 const FIRST_CLIENT: usize = 1;
-/// Blocks of an account.
-const ACCOUNT_BLOCKS: u64 = 8;
-/// What a client grants a host beyond the deadline, for the network and a busy machine.
+/// Size of a region, in blocks.
+const REGION_BLOCKS: u64 = 8;
+/// Time that a client waits for an answer beyond the deadline, in microseconds, to allow for delays by the network and
+/// a busy machine.
 pub const DEADLINE_GRACE: Micros = 250_000;
 
-/// What clients need to know of a volume.
+/// Parameters of a volume that clients use.
 #[derive(Clone, Debug)]
 pub struct VolumeTarget {
     /// Logical unit number.
     pub lun: u32,
     /// Number of blocks.
     pub blocks: u64,
-    /// Name of its plan.
+    /// Name of the volume's plan.
     pub plan: String,
-    /// Deadline of its reads.
+    /// Time until the deadline of a read, in microseconds.
     pub read_deadline: Micros,
-    /// Deadline of its writes.
+    /// Time until the deadline of a write, in microseconds.
     pub write_deadline: Micros,
 }
 
-/// What the load is made of.
+/// Configuration of the load.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Addresses of the hosts, to which clients connect in turn.
+    /// Addresses of the hosts, which are assigned to clients round-robin.
     pub hosts: Vec<SocketAddr>,
     /// Target name of the hosts.
     pub target: String,
-    /// The volumes, which clients use in turn.
+    /// Volumes, which are assigned to clients round-robin.
     pub volumes: Vec<VolumeTarget>,
     /// Number of clients.
     pub clients: u32,
-    /// Commands a second of each client.
+    /// Commands per second of each client.
     pub command_rate: f64,
-    /// Part of the commands that write.
+    /// Fraction of the commands that are writes.
     pub write_fraction: f64,
     /// Parameters that clients propose at login.
     pub proposal: ProposedParams,
 }
 
-/// A change of the clients' behaviour. Clients are named by their number.
+/// Change of the clients' behaviour. Clients are identified by their number; for variants with a `bool`, true begins
+/// the behaviour and false ends it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Behaviour {
     /// A client disconnects with its commands in flight.
     Disconnect(u32),
-    /// A client sends half a write, then nothing; or goes on.
+    /// A client sends part of a write, then nothing.
     Stall(u32, bool),
-    /// A client requests much and reads nothing; or goes on.
+    /// A client sends many reads and does not receive their answers.
     StopReading(u32, bool),
-    /// A client logs in again while its old connection looks alive.
+    /// A client logs in again without closing its old connection.
     LoginAgain(u32),
-    /// This many connections never finish their login.
+    /// This many new connections never complete their login.
     HalfLogins(u32),
-    /// This many connections send malformed PDUs.
+    /// This many new connections send malformed PDUs.
     Garbage(u32),
-    /// Clients of one plan send this multiple of their usual commands.
+    /// Clients of one plan send commands at this multiple of their usual rate.
     Surge(String, f64),
-    /// All clients send this multiple of their usual commands.
+    /// All clients send commands at this multiple of their usual rate.
     Scale(f64),
-    /// No new commands; those in flight complete.
+    /// Clients send no new commands; commands in flight complete.
     Drain,
-    /// The load ends.
+    /// The thread of the clients ends.
     Stop,
 }
 
-/// The clients on a thread of their own, which ends when this is dropped.
+/// Clients on a thread of their own, which ends when this value is dropped.
 pub struct Load {
     behaviours: Sender<Behaviour>,
     waker: Arc<Waker>,
@@ -88,15 +90,15 @@
 }
 
 impl Load {
-    /// Starts the clients. The seed draws their times, accounts and writes.
+    /// Starts the clients. The times and regions of their commands are drawn from `seed`.
     ///
     /// # Errors
-    /// The operating system's poll cannot be created, or no thread can be started.
+    /// The poll instance cannot be created, or no thread can be started.
     pub fn start(config: LoadConfig, trace: Trace, seed: u64) -> io::Result<Load> {
         let (behaviours, receiver) = channel();
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-        // Connections hold reference counts of one thread, so they are made there.
+        // Connections hold `Rc`s, so they are created on their own thread.
         let thread = std::thread::Builder::new()
             .name("load".into())
             .spawn(move || Generator::new(config, trace, poll, seed).run(&receiver))?;
@@ -109,7 +111,7 @@
 
     /// Changes the clients' behaviour.
     pub fn send(&self, behaviour: Behaviour) {
-        // A stopped load takes no more changes.
+        // The send fails if the clients have stopped, which need no more changes.
         let _ = self.behaviours.send(behaviour);
         let _ = self.waker.wake();
     }
--- a/crates/load/src/initiators/client.rs
+++ b/crates/load/src/initiators/client.rs
@@ -1,5 +1,5 @@
 //! State of one client.
-use super::{ACCOUNT_BLOCKS, LoadConfig};
+use super::{LoadConfig, REGION_BLOCKS};
 use mallowseam_audit::block;
 use mallowseam_audit::rehearsal::EXTENT_COPY_GROUP;
 use mallowseam_audit::trace::Micros;
@@ -9,13 +9,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Time within which each client sends its first command.
+/// Interval in which each client sends its first command, in microseconds.
 const FIRST_COMMAND_WITHIN: Micros = 500_000;
 
-/// Group numbers that clients use in turn; the next one marks extent copies.
+/// Number of group numbers that clients use in turn. The next higher number marks extent copies.
 const GROUP_NUMBERS: u8 = EXTENT_COPY_GROUP;
 
-/// A command in flight.
+/// Command in flight.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightCommand {
     pub(super) id: u64,
@@ -25,33 +25,34 @@
     pub(super) blocks: u32,
     pub(super) group_number: u8,
     pub(super) deadline: Micros,
-    /// It is a retry, and is not retried again.
+    /// Whether the command is a retry, which is not retried again.
     pub(super) retried: bool,
 }
 
-/// A shed command that is sent again.
+/// Retry of a shed command.
 pub(super) struct Retry {
     pub(super) at: Micros,
     pub(super) command: InFlightCommand,
 }
 
-/// An open connection.
-pub(super) struct Link {
+/// Open connection of a client.
+pub(super) struct Connection {
     pub(super) socket: TcpStream,
     pub(super) session: InitiatorConnection,
 }
 
+/// State of a client.
 pub(super) struct Client {
     pub(super) index: u32,
-    /// Index of its host.
+    /// Index of the client's host.
     pub(super) host: usize,
-    /// Index of its volume.
+    /// Index of the client's volume.
     pub(super) volume: usize,
-    /// First block of its accounts.
-    pub(super) first_account: u64,
+    /// First block of the client's regions.
+    pub(super) first_region: u64,
     pub(super) isid: [u8; 6],
-    pub(super) link: Option<Link>,
-    /// An older connection of the same name, left for the host to close.
+    pub(super) connection: Option<Connection>,
+    /// Socket of the previous connection under the same name, left open for the host to close.
     pub(super) replaced: Option<TcpStream>,
     pub(super) connect_at: Micros,
     pub(super) next_command_at: Micros,
@@ -60,9 +61,9 @@
     pub(super) last_group_number: u8,
     pub(super) last_tag: u32,
     pub(super) not_reading: bool,
-    /// The host requested a logout: no new commands.
+    /// Whether the host requested a logout; the client then sends no new commands.
     pub(super) logout_requested: bool,
-    /// Bytes that are still sent before the client stalls.
+    /// Number of bytes that the client still sends before it stalls; none if it does not stall.
     pub(super) stall_after: Option<usize>,
     pub(super) unmatched_responses: u64,
     pub(super) rng: Pcg64Mcg,
@@ -75,14 +76,14 @@
         let position = u64::from(index) / volumes as u64;
         let clients_per_volume = u64::from(config.clients).div_ceil(volumes as u64);
         let area =
-            config.volumes[volume].blocks / clients_per_volume / ACCOUNT_BLOCKS * ACCOUNT_BLOCKS;
+            config.volumes[volume].blocks / clients_per_volume / REGION_BLOCKS * REGION_BLOCKS;
         Client {
             index,
             host: index as usize % config.hosts.len(),
             volume,
-            first_account: position * area,
+            first_region: position * area,
             isid: [0x80, 0, 1, (index >> 8) as u8, index as u8, 0],
-            link: None,
+            connection: None,
             replaced: None,
             connect_at: 0,
             next_command_at: rng.random_range(0..FIRST_COMMAND_WITHIN),
@@ -98,11 +99,11 @@
         }
     }
 
-    /// Whether its session takes a command now.
+    /// Returns whether the session can send a command now.
     pub(super) fn can_send(&self) -> bool {
-        self.link
+        self.connection
             .as_ref()
-            .is_some_and(|link| link.session.can_send())
+            .is_some_and(|connection| connection.session.can_send())
     }
 
     pub(super) fn next_tag(&mut self) -> u32 {
@@ -110,8 +111,8 @@
         self.last_tag
     }
 
-    /// A group number that no command in flight has, as far as there are enough: two reads of the same blocks in flight
-    /// differ in it, so that a trace can tell them apart.
+    /// Returns a group number that no command in flight has, if there is one. The audit distinguishes reads of the same
+    /// blocks in flight by their group numbers.
     pub(super) fn next_group_number(&mut self) -> u8 {
         for _ in 0..GROUP_NUMBERS {
             self.last_group_number = (self.last_group_number + 1) % GROUP_NUMBERS;
@@ -123,9 +124,11 @@
         self.last_group_number
     }
 
-    /// Sends a command, whose data are those of its write.
+    /// Sends a command; a write carries the data of its id.
     pub(super) fn send(&mut self, lun: u32, command: InFlightCommand) {
-        let Some(link) = &mut self.link else { return };
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
         let InFlightCommand {
             id,
             tag,
@@ -138,16 +141,20 @@
         let cdb = scsi::read_or_write_16(write, lba, blocks, group_number);
         if write {
             let data = block::write(id, lba, blocks);
-            link.session.send_command(tag, lun, &cdb, 0, data.into());
+            connection
+                .session
+                .send_command(tag, lun, &cdb, 0, data.into());
         } else {
             let read_len = blocks as usize * block::SIZE;
             let nothing = Vec::new().into();
-            link.session.send_command(tag, lun, &cdb, read_len, nothing);
+            connection
+                .session
+                .send_command(tag, lun, &cdb, read_len, nothing);
         }
         self.in_flight.push(command);
     }
 
-    /// When something is next due for the client.
+    /// Returns when the next event of the client is due.
     pub(super) fn next_timer(&self) -> Micros {
         let retry = self
             .retries
@@ -161,7 +168,7 @@
             .map(|c| c.deadline)
             .min()
             .unwrap_or(Micros::MAX);
-        let next = if self.link.is_some() {
+        let next = if self.connection.is_some() {
             self.next_command_at
         } else {
             self.connect_at
--- a/crates/load/src/initiators/generator.rs
+++ b/crates/load/src/initiators/generator.rs
@@ -1,4 +1,4 @@
-//! Event loop of the load.
+//! Event loop of the clients.
 mod behaviour;
 mod requests;
 mod transport;
@@ -12,27 +12,30 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// Shortest and longest wait of the event loop.
+/// Shortest wait of the event loop, in microseconds.
 const MIN_WAIT: Micros = 200;
+/// Longest wait of the event loop, in microseconds.
 const MAX_WAIT: Micros = 20_000;
 const EVENT_CAPACITY: usize = 256;
-/// Pause before a client connects again after it stalled, or after its host closed the connection.
+/// Pause before a client connects again after a stall, or after its host closed the connection, in microseconds.
 const RECONNECT_PAUSE: Micros = 100_000;
+/// Size of the buffer for reads, in bytes.
 const SCRATCH_BYTES: usize = 128 * 1024;
 
+/// Clients, with the state of their event loop.
 pub(super) struct Generator {
     config: LoadConfig,
     trace: Trace,
     poll: Poll,
     clients: Vec<Client>,
-    /// Per volume, the multiple of its usual commands.
+    /// Multiple of the usual command rate, by volume.
     surges: Vec<f64>,
-    /// The multiple of all clients' usual commands.
+    /// Multiple of the usual command rate of all clients.
     scale: f64,
     draining: bool,
     next_command: u64,
-    /// Connections that never log in, kept open.
-    strangers: Vec<std::net::TcpStream>,
+    /// Connections with incomplete logins or malformed PDUs, kept open.
+    fault_connections: Vec<std::net::TcpStream>,
     scratch: Vec<u8>,
 }
 
@@ -51,7 +54,7 @@
             scale: 1.0,
             draining: false,
             next_command: 1,
-            strangers: Vec::new(),
+            fault_connections: Vec::new(),
             scratch: vec![0; SCRATCH_BYTES],
         }
     }
@@ -68,7 +71,7 @@
                 .min()
                 .unwrap_or(now);
             let wait = due.saturating_sub(now).clamp(MIN_WAIT, MAX_WAIT);
-            // An interrupted wait is like an early one.
+            // An interrupted wait is like one that ends early.
             let _ = self
                 .poll
                 .poll(&mut events, Some(Duration::from_micros(wait)));
--- a/crates/load/src/initiators/generator/behaviour.rs
+++ b/crates/load/src/initiators/generator/behaviour.rs
@@ -1,6 +1,6 @@
 //! Changes of the clients' behaviour.
 use super::{Generator, RECONNECT_PAUSE};
-use crate::initiators::{ACCOUNT_BLOCKS, Behaviour};
+use crate::initiators::{Behaviour, REGION_BLOCKS};
 use mallowseam_audit::trace::Micros;
 use mallowseam_iscsi::frame::SendBuffer;
 use mallowseam_iscsi::initiator::InitiatorConnection;
@@ -9,13 +9,14 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-/// Pause before a client connects again after it disconnected.
+/// Pause before a client connects again after it disconnected, in microseconds.
 const DISCONNECT_PAUSE: Micros = 300_000;
-/// Bytes that a stalling client still sends: part of a command.
+/// Number of bytes that a stalling client still sends: less than a write command with its data.
 const STALL_AFTER_BYTES: usize = 100;
-/// Reads that a client requests before it stops reading, and their blocks.
+/// Number of read commands that a client sends before it stops receiving.
 const UNREAD_COMMANDS: u32 = 12;
-const UNREAD_BLOCKS: u32 = 4 * ACCOUNT_BLOCKS as u32;
+/// Size of each of these read commands, in blocks.
+const UNREAD_BLOCKS: u32 = 4 * REGION_BLOCKS as u32;
 /// An opcode that RFC 7143 does not define.
 const UNDEFINED_OPCODE: u8 = 0x3a;
 
@@ -37,22 +38,22 @@
                 self.disconnect(client, RECONNECT_PAUSE);
             }
             Behaviour::LoginAgain(n) => self.login_again(index(n)),
-            Behaviour::HalfLogins(n) => self.half_logins(n as usize),
-            Behaviour::Garbage(n) => self.send_garbage(n as usize),
-            Behaviour::Surge(plan, times) => {
+            Behaviour::HalfLogins(n) => self.send_half_logins(n as usize),
+            Behaviour::Garbage(n) => self.send_malformed_pdus(n as usize),
+            Behaviour::Surge(plan, factor) => {
                 for (volume, surge) in self.config.volumes.iter().zip(&mut self.surges) {
                     if volume.plan == plan {
-                        *surge = times;
+                        *surge = factor;
                     }
                 }
             }
-            Behaviour::Scale(times) => self.scale = times,
+            Behaviour::Scale(factor) => self.scale = factor,
             Behaviour::Drain => self.draining = true,
             Behaviour::Stop => {}
         }
     }
 
-    /// Half a command goes out, and then nothing.
+    /// Makes a client send part of a write, and nothing after it.
     fn stall(&mut self, client: usize) {
         self.request(client, true, None);
         self.abandon_all(client);
@@ -71,41 +72,41 @@
     fn login_again(&mut self, client: usize) {
         self.abandon_all(client);
         let client = &mut self.clients[client];
-        client.replaced = client.link.take().map(|link| link.socket);
+        client.replaced = client.connection.take().map(|connection| connection.socket);
         if let Some(replaced) = &mut client.replaced {
             let _ = self.poll.registry().deregister(replaced);
         }
         client.connect_at = 0;
     }
 
-    fn half_logins(&mut self, count: usize) {
+    fn send_half_logins(&mut self, count: usize) {
         for i in 0..count {
-            let Ok(mut socket) = TcpStream::connect(self.host_of_stranger(i)) else {
+            let Ok(mut socket) = TcpStream::connect(self.fault_connection_host(i)) else {
                 continue;
             };
             let mut session =
                 InitiatorConnection::new("iqn.half", Some("iqn.x"), [0; 6], &self.config.proposal);
             let bytes = session.send_buffer().unsent();
             let _ = socket.write_all(&bytes[..bytes.len() / 2]);
-            self.strangers.push(socket);
+            self.fault_connections.push(socket);
         }
     }
 
-    fn send_garbage(&mut self, count: usize) {
+    fn send_malformed_pdus(&mut self, count: usize) {
         for i in 0..count {
-            if let Ok(mut socket) = TcpStream::connect(self.host_of_stranger(i)) {
-                let _ = socket.write_all(&self.garbage(i));
-                self.strangers.push(socket);
+            if let Ok(mut socket) = TcpStream::connect(self.fault_connection_host(i)) {
+                let _ = socket.write_all(&self.login_and_malformed_pdu(i));
+                self.fault_connections.push(socket);
             }
         }
     }
 
-    fn host_of_stranger(&self, i: usize) -> std::net::SocketAddr {
+    fn fault_connection_host(&self, i: usize) -> std::net::SocketAddr {
         self.config.hosts[i % self.config.hosts.len()]
     }
 
-    /// A login and, behind it, a malformed PDU.
-    fn garbage(&mut self, i: usize) -> Vec<u8> {
+    /// Returns the bytes of a login request followed by a malformed PDU.
+    fn login_and_malformed_pdu(&mut self, i: usize) -> Vec<u8> {
         let name = format!("iqn.garbage{i}");
         let mut session = InitiatorConnection::new(
             &name,
--- a/crates/load/src/initiators/generator/requests.rs
+++ b/crates/load/src/initiators/generator/requests.rs
@@ -1,32 +1,32 @@
-//! What clients send and when, and what they make of the answers.
+//! Requests of the clients, their times, and the handling of answers.
 use super::Generator;
 use crate::initiators::client::{InFlightCommand, Retry};
-use crate::initiators::{ACCOUNT_BLOCKS, DEADLINE_GRACE};
+use crate::initiators::{DEADLINE_GRACE, REGION_BLOCKS};
 use mallowseam_audit::block;
 use mallowseam_audit::trace::{Micros, TraceEvent};
 use mallowseam_iscsi::scsi::status;
 use rand::RngExt;
 use std::num::NonZeroU16;
 
-/// Accounts of one client.
-const ACCOUNTS: u64 = 6;
-/// Part of the writes that come as a pair for one account, in order.
+/// Number of regions of one client.
+const REGIONS_PER_CLIENT: u64 = 6;
+/// Fraction of the writes that are sent as an ordered pair to one region.
 const PAIR_FRACTION: f64 = 0.2;
-/// Part of the writes that write a whole account.
-const WHOLE_ACCOUNT_FRACTION: f64 = 0.5;
-/// Blocks of a write that does not write a whole account.
-const PART_OF_ACCOUNT: u32 = 2;
-/// Pause of a client that logs out before it looks at its timer again.
+/// Fraction of the writes that cover a whole region.
+const WHOLE_REGION_FRACTION: f64 = 0.5;
+/// Size of a write that does not cover a whole region, in blocks.
+const PARTIAL_WRITE_BLOCKS: u32 = 2;
+/// Pause before a client that logs out checks its timer again, in microseconds.
 const LOGOUT_PAUSE: Micros = 10_000;
-/// Microseconds of one tenth of a second, the unit of a retry hint.
+/// Unit of a retry hint, a tenth of a second, in microseconds.
 const RETRY_HINT_UNIT: Micros = 100_000;
 
 impl Generator {
-    /// Does what is due for a client.
+    /// Handles everything that is due for a client.
     pub(super) fn on_timer(&mut self, index: usize) {
         let now = self.trace.now();
         let client = &mut self.clients[index];
-        if client.link.is_none() {
+        if client.connection.is_none() {
             client.next_command_at = client.next_command_at.max(now);
             if now >= client.connect_at {
                 self.connect(index);
@@ -36,12 +36,12 @@
         self.abort_late(index, now);
         let client = &mut self.clients[index];
         if client.logout_requested {
-            if let Some(link) = client
-                .link
+            if let Some(connection) = client
+                .connection
                 .as_mut()
-                .filter(|link| link.session.in_flight() == 0)
+                .filter(|connection| connection.session.in_flight() == 0)
             {
-                link.session.send_logout_request();
+                connection.session.send_logout_request();
                 client.logout_requested = false;
             }
             client.next_command_at = client.next_command_at.max(now + LOGOUT_PAUSE);
@@ -59,13 +59,13 @@
         self.send_due(index, now);
     }
 
-    /// Aborts commands past their deadline: an answer would come too late.
+    /// Aborts commands past their deadline, because an answer would be late.
     fn abort_late(&mut self, index: usize, now: Micros) {
         let client = &mut self.clients[index];
         while let Some(i) = client.in_flight.iter().position(|c| c.deadline <= now) {
             let command = client.in_flight.swap_remove(i);
-            if let Some(link) = &mut client.link {
-                link.session.abort_task(command.tag);
+            if let Some(connection) = &mut client.connection {
+                connection.session.abort_task(command.tag);
             }
         }
     }
@@ -79,7 +79,7 @@
         {
             let Retry { command, .. } = self.clients[index].retries.swap_remove(i);
             self.send_command(index, command.write, command.lba, command.blocks, true);
-            if self.clients[index].link.is_none() {
+            if self.clients[index].connection.is_none() {
                 return;
             }
         }
@@ -88,31 +88,32 @@
         }
         let client = &mut self.clients[index];
         let rate = self.config.command_rate * self.scale * self.surges[client.volume];
-        // Exponential intervals, of an hour at most.
+        // Exponentially distributed intervals of at most an hour.
         let interval = -client.rng.random::<f64>().max(1e-9).ln() / rate.max(1e-6);
         client.next_command_at = now + (interval * 1e6).min(3.6e9) as Micros;
         let write = client.rng.random::<f64>() < self.config.write_fraction;
         self.request(index, write, None);
     }
 
-    /// Sends a read, or one or two writes, of one of the client's accounts.
+    /// Sends a read of one of the client's regions, or one or two writes to it.
     pub(super) fn request(&mut self, index: usize, write: bool, blocks: Option<u32>) {
         let client = &mut self.clients[index];
-        let account = client.first_account + client.rng.random_range(0..ACCOUNTS) * ACCOUNT_BLOCKS;
+        let region =
+            client.first_region + client.rng.random_range(0..REGIONS_PER_CLIENT) * REGION_BLOCKS;
         if !write {
-            let blocks = blocks.unwrap_or(ACCOUNT_BLOCKS as u32 * client.rng.random_range(1..4));
-            return self.send_command(index, false, account, blocks, false);
+            let blocks = blocks.unwrap_or(REGION_BLOCKS as u32 * client.rng.random_range(1..4));
+            return self.send_command(index, false, region, blocks, false);
         }
         let pair = client.rng.random::<f64>() < PAIR_FRACTION;
-        let whole = client.rng.random::<f64>() < WHOLE_ACCOUNT_FRACTION;
+        let whole = client.rng.random::<f64>() < WHOLE_REGION_FRACTION;
         let blocks = if whole {
-            ACCOUNT_BLOCKS as u32
+            REGION_BLOCKS as u32
         } else {
-            PART_OF_ACCOUNT
+            PARTIAL_WRITE_BLOCKS
         };
         let commands = if pair { 2 } else { 1 };
         for _ in 0..commands {
-            self.send_command(index, true, account, blocks, false);
+            self.send_command(index, true, region, blocks, false);
         }
     }
 
--- a/crates/load/src/initiators/generator/transport.rs
+++ b/crates/load/src/initiators/generator/transport.rs
@@ -1,7 +1,7 @@
 //! Connections of the clients.
 use super::{Generator, RECONNECT_PAUSE};
 use crate::initiators::FIRST_CLIENT;
-use crate::initiators::client::{Client, Link};
+use crate::initiators::client::{Client, Connection};
 use mallowseam_audit::trace::{Micros, TraceEvent};
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
 use mallowseam_iscsi::scsi::status;
@@ -10,9 +10,9 @@
 use rand::RngExt;
 use std::io::{ErrorKind, Read, Write};
 
-/// Pause before a client connects again after a logout.
+/// Pause before a client connects again after a logout, in microseconds.
 const LOGOUT_RECONNECT_PAUSE: Micros = 300_000;
-/// Jitter of the pause before a client connects again.
+/// Maximum random addition to the pause before a client connects again, in microseconds.
 const RECONNECT_JITTER: Micros = 100_000;
 
 impl Generator {
@@ -35,10 +35,10 @@
         let name = format!("iqn.2026-12.example.lab:counter{}", client.index);
         let target = Some(self.config.target.as_str());
         let session = InitiatorConnection::new(&name, target, client.isid, &self.config.proposal);
-        client.link = Some(Link { socket, session });
+        client.connection = Some(Connection { socket, session });
     }
 
-    /// The client will receive no answer to what it has sent.
+    /// Records that the client will receive no answers to its commands in flight, and discards its retries.
     pub(super) fn abandon_all(&mut self, index: usize) {
         for command in self.clients[index].in_flight.drain(..) {
             self.trace.record(TraceEvent::CommandAbandoned {
@@ -48,7 +48,8 @@
         self.clients[index].retries.clear();
     }
 
-    /// The host closed the connection: it has left what it had accepted without an answer.
+    /// Handles a connection that the host closed or that failed. Its commands in flight are not recorded as abandoned,
+    /// so a missing answer counts against the host.
     fn on_connection_lost(&mut self, index: usize) {
         self.clients[index].in_flight.clear();
         self.disconnect(index, RECONNECT_PAUSE);
@@ -57,8 +58,8 @@
     pub(super) fn disconnect(&mut self, index: usize, pause: Micros) {
         self.abandon_all(index);
         let client = &mut self.clients[index];
-        if let Some(mut link) = client.link.take() {
-            let _ = self.poll.registry().deregister(&mut link.socket);
+        if let Some(mut connection) = client.connection.take() {
+            let _ = self.poll.registry().deregister(&mut connection.socket);
         }
         client.logout_requested = false;
         client.connect_at = self.trace.now() + pause + client.rng.random_range(0..RECONNECT_JITTER);
@@ -66,7 +67,7 @@
 
     pub(super) fn flush(&mut self, index: usize) {
         let client = &mut self.clients[index];
-        let Some(Link { socket, session }) = &mut client.link else {
+        let Some(Connection { socket, session }) = &mut client.connection else {
             return;
         };
         loop {
@@ -94,14 +95,14 @@
     pub(super) fn read(&mut self, index: usize) {
         while let Client {
             not_reading: false,
-            link: Some(link),
+            connection: Some(connection),
             ..
         } = &mut self.clients[index]
         {
-            match link.socket.read(&mut self.scratch) {
+            match connection.socket.read(&mut self.scratch) {
                 Ok(0) => return self.on_connection_lost(index),
                 Ok(len) => {
-                    if link.session.receive(&self.scratch[..len]).is_err() {
+                    if connection.session.receive(&self.scratch[..len]).is_err() {
                         return self.on_connection_lost(index);
                     }
                     self.on_received(index);
@@ -115,9 +116,9 @@
 
     fn on_received(&mut self, index: usize) {
         while let Some(event) = self.clients[index]
-            .link
+            .connection
             .as_mut()
-            .and_then(|link| link.session.next_event())
+            .and_then(|connection| connection.session.next_event())
         {
             match event {
                 InitiatorEvent::CommandCompleted {
@@ -141,9 +142,9 @@
         }
         let client = &mut self.clients[index];
         let unmatched = client
-            .link
+            .connection
             .as_ref()
-            .map_or(0, |link| link.session.unmatched_responses());
+            .map_or(0, |connection| connection.session.unmatched_responses());
         if unmatched > client.unmatched_responses {
             self.trace.record(TraceEvent::UnexpectedAnswer {
                 client: client.index,
--- a/crates/load/tests/pinned.rs
+++ b/crates/load/tests/pinned.rs
@@ -1,5 +1,5 @@
-//! Pinned results of the load, as the code gave them before its names and modules changed. A pin that fails means that
-//! a decision, a constant or a random draw has changed.
+//! Pinned results of the load. A test that fails means that a decision, a constant or a random draw has changed, so
+//! that seeded runs are no longer reproducible.
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::{Trace, TraceEvent};
 use mallowseam_iscsi::params::ProposedParams;
@@ -19,10 +19,10 @@
     }
 }
 
-/// Last bytes of the nodes' addresses: each test program has its own.
+/// First value of the last byte of the nodes' addresses. Each test program has its own range.
 const FIRST_ADDRESS: u8 = 220;
 
-/// An address of this process and this number.
+/// Returns a loopback address that only this process uses under this number.
 fn address(number: u8) -> SocketAddr {
     let process = std::process::id();
     let network = 100 + (process >> 8) as u8 % 60;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn clients_draw_their_operations_as_recorded() {
+fn operations_of_the_client_model_are_unchanged() {
     let mut digest = Digest::default();
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -80,11 +80,11 @@
                 &[host.map_or(0, |h| u64::from(h) + 1), client_load.next_due()],
             );
             let retry_after = rng.random_bool(0.3).then_some(5_000);
-            let mut tried = op;
-            while let Some((at, next)) = client_load.retry(now, &tried, retry_after, &mut rng) {
+            let mut previous = op;
+            while let Some((at, next)) = client_load.retry(now, &previous, retry_after, &mut rng) {
                 digest.add(at);
                 add_operation(&mut digest, &next);
-                tried = next;
+                previous = next;
             }
         }
     }
@@ -92,15 +92,15 @@
 }
 
 #[test]
-fn requests_of_the_load_by_its_seed() {
+fn requests_of_the_initiators_by_their_seed_are_unchanged() {
     const CLIENTS: u32 = 6;
     const REQUESTS: usize = 60;
     let mut out = String::new();
     for seed in 1..3u64 {
         let address = address(seed as u8);
         let model = ServiceModel::warm(4, 0.0, 4096);
-        let _node =
-            Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
+        let _node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed)
+            .expect("a running node");
         let volume = |lun, plan: &str| VolumeTarget {
             lun,
             blocks: 4096,
@@ -108,7 +108,7 @@
             read_deadline: 5_000_000,
             write_deadline: 5_000_000,
         };
-        let plan = LoadConfig {
+        let config = LoadConfig {
             hosts: vec![address],
             target: "iqn.t".into(),
             volumes: vec![volume(0, "basic"), volume(1, "free")],
@@ -118,13 +118,13 @@
             proposal: ProposedParams::default(),
         };
         let trace = Trace::default();
-        let load = Load::start(plan, trace.clone(), seed).expect("clients");
+        let load = Load::start(config, trace.clone(), seed).expect("running clients");
         let mut requests = vec![Vec::new(); CLIENTS as usize];
         let began = Instant::now();
         while requests.iter().any(|r| r.len() < REQUESTS) {
             assert!(
                 began.elapsed() < Duration::from_secs(20),
-                "too few requests"
+                "the clients sent too few requests within 20 s"
             );
             std::thread::sleep(Duration::from_millis(20));
             for s in trace.take() {
@@ -143,7 +143,8 @@
         }
         drop(load);
         for (client, requests) in requests.iter().enumerate() {
-            writeln!(out, "{seed} {client} {:?}", &requests[..REQUESTS]).expect("memory");
+            writeln!(out, "{seed} {client} {:?}", &requests[..REQUESTS])
+                .expect("writing to a string succeeds");
         }
     }
     let mut digest = Digest::default();
@@ -151,7 +152,7 @@
     assert_eq!(
         digest.value(),
         0xfc2f_a47d_b713_1b6b,
-        "text begins\n{}",
+        "the text begins with\n{}",
         &out[..out.len().min(600)]
     );
 }
