--- a/crates/scenarios/src/builtin.rs
+++ b/crates/scenarios/src/builtin.rs
@@ -1,15 +1,15 @@
 //! Scripts that come with the testbed.
 
-/// A script with its name.
+/// Script with its name.
 #[derive(Clone, Copy, Debug)]
 struct Script {
-    /// The name by which it is played.
+    /// Name of the script on the command line.
     name: &'static str,
-    /// Its text.
+    /// Text of the script.
     text: &'static str,
 }
 
-/// The day of surges over which placements are compared.
+/// Script of a day with surges, over which placements are compared.
 pub const DUE_DATE: &str = include_str!("../scripts/due-date.script");
 
 /// Scripts for hosts behind iSCSI.
@@ -52,12 +52,12 @@
     },
 ];
 
-/// The text of a script for hosts behind iSCSI.
+/// Returns the text of a script for hosts behind iSCSI; none if no script has this name.
 pub fn rehearsal(name: &str) -> Option<&'static str> {
     text_of(&REHEARSALS, name)
 }
 
-/// The text of a script for a fleet.
+/// Returns the text of a script for a fleet; none if no script has this name.
 pub fn fleet(name: &str) -> Option<&'static str> {
     text_of(&FLEETS, name)
 }
--- a/crates/scenarios/src/fault_schedule.rs
+++ b/crates/scenarios/src/fault_schedule.rs
@@ -1,32 +1,33 @@
-//! Random fault schedules for a fleet whose hosts keep a membership table: two minutes, drawn by a seed.
+//! Random fault schedules of about two minutes for a fleet whose hosts keep a membership table, drawn from a seed.
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
 
-/// When the first fault begins, once all hosts have started. All times in milliseconds.
+/// Start of the first fault, when all hosts have started, in milliseconds.
 const FIRST_FAULT_MS: u64 = 15_000;
-/// When the last fault is over.
+/// Time by which the last fault has ended, in milliseconds.
 const LAST_FAULT_END_MS: u64 = 75_000;
-/// The longest fault, with its margin: none begins later than this before the last end.
+/// Bound on the duration of a fault, in milliseconds. No fault begins later than this before [`LAST_FAULT_END_MS`].
 const LONGEST_FAULT_MS: u64 = 15_000;
-/// End of the run.
+/// Duration of the run, in milliseconds.
 const END_MS: u64 = 125_000;
-/// Longest pause between two faults.
+/// Longest pause between the starts of two faults, in milliseconds.
 const MAX_PAUSE_MS: u64 = 3_000;
-/// Past the end of the run: a host that is killed for so long stays dead.
+/// Duration of a permanent death, in milliseconds. It exceeds the run, so the host is not started again.
 const PERMANENT_MS: u64 = 10 * END_MS;
-/// After a host's fault, until it may have the next one.
+/// Time from the end of a host's fault until the host may have the next one, in milliseconds.
 const HOST_RECOVERY_MS: u64 = 4_000;
-/// After a fault of links, until there may be another one.
+/// Time from the end of a link fault until there may be another one, in milliseconds.
 const LINK_RECOVERY_MS: u64 = 2_000;
-/// Hosts are restarted as on the platform: killed past the longest deadline, started after it.
+/// Time from SIGTERM to the next start of a host, in milliseconds. As on the platform, a host is killed after the
+/// longest deadline and started after the kill.
 const RESTART_MS: u64 = 5_000;
 const ZONES: u32 = 4;
-/// Distinguishes these draws from others of the same seed.
+/// Salt that makes these draws differ from others with the same seed.
 const SEED_SALT: u64 = 0x5707;
 
-/// Draws a script for so many hosts. Every fault but permanent deaths is over by the 75th second, so that the tables
-/// have the rest of the run to converge.
+/// Draws a script for this number of hosts. All faults but permanent deaths end by the 75th second, so that the
+/// membership tables have the rest of the run to converge.
 pub fn random_script(hosts: u32, seed: u64) -> String {
     let mut schedule = Schedule {
         rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT),
@@ -53,12 +54,13 @@
     )
 }
 
-/// A script in the making.
+/// Script under construction.
 struct Schedule {
     rng: Pcg64Mcg,
     script: String,
-    /// A host has one fault of its own at a time: when it may have the next one.
+    /// Time from which on each host may have its next fault. A host has at most one fault of its own at a time.
     host_free_at: Vec<u64>,
+    /// Time from which on there may be another link fault.
     links_free_at: u64,
     permanent_deaths_left: u32,
 }
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Up to a tenth of the hosts, of those that are free; one may be drawn twice.
+    /// Draws up to a tenth of the hosts, from those without a fault. A host may be drawn twice.
     fn draw_hosts(&mut self, at: u64) -> Vec<u32> {
         let count = self
             .rng
--- a/crates/scenarios/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A scenario: what a run consists of, and the faults of its schedule. `docs/cold-start.md` describes the scripts that
-//! scenarios are read from.
+//! Scenarios for a fleet of hosts: the parts of a run, and the schedule of its faults. `docs/cold-start.md` describes
+//! the scripts that they are read from.
 mod arguments;
 mod audit_input;
 mod faults;
@@ -14,20 +14,20 @@
 
 pub use parse::parse;
 
-/// The endpoint list that hosts start with.
+/// Endpoint list that hosts start with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialList {
-    /// None.
+    /// No list.
     None,
-    /// The current one.
+    /// The current list.
     Current,
-    /// An old one: half of its nodes have been replaced since.
+    /// A stale list: half of its nodes have been replaced since.
     Stale,
-    /// One of a version that the service has not reached.
+    /// A list with a higher version than that of the service.
     Ahead,
 }
 
-/// All that a run consists of. Times in microseconds.
+/// Parts of a run, with its faults. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Name of the script.
@@ -36,99 +36,99 @@
     pub duration: Micros,
     /// Number of hosts.
     pub hosts: u32,
-    /// The list that they start with.
+    /// Endpoint list that hosts start with.
     pub initial_list: InitialList,
     /// Number of zones; hosts and nodes are assigned to them round-robin.
     pub zones: u32,
-    /// Number of nodes and of shards.
+    /// Number of nodes, which is also the number of shards.
     pub nodes: u32,
-    /// Speed and cold start of a node.
+    /// Service model of a node.
     pub node_model: ServiceModel,
-    /// Limits of a node.
+    /// Limits of a node beyond its service model.
     pub node_limits: NodeLimits,
-    /// Nodes start when hosts do, cold.
+    /// Whether nodes start cold together with the hosts.
     pub nodes_start_cold: bool,
-    /// What clients do.
+    /// Behaviour of the clients.
     pub load: LoadProfile,
-    /// Time that a poll takes at the discovery service.
+    /// Service time of a poll at the discovery service.
     pub service_time: Micros,
     /// Time after which a queued poll is rejected.
     pub queue_timeout: Micros,
     /// Time until the discovery service learns of a node's change.
     pub discovery_lag: Micros,
-    /// Memory limit of a host in megabytes.
+    /// Memory limit of a host, in megabytes.
     pub memory_mb: u32,
     /// Limit on a host's file descriptors.
     pub max_descriptors: u32,
-    /// Whether hosts keep a membership table, and how.
+    /// Membership protocol of the hosts; none if hosts keep no membership table.
     pub membership: Option<MembershipScenario>,
-    /// The faults, by time.
+    /// Faults, in order of time.
     pub faults: Vec<ScheduledFault>,
 }
 
-/// How hosts keep a membership table. Times in microseconds.
+/// Parameters of the membership protocol. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipScenario {
     /// Protocol period.
     pub period: Micros,
-    /// The first so many hosts are seeds.
+    /// Number of seeds: the hosts with the lowest indexes.
     pub seeds: u32,
     /// Retention time of unreachable members.
     pub retention: Micros,
-    /// Hosts that take part.
+    /// Hosts that take part in the protocol.
     pub participants: IndexRange,
 }
 
-/// A fault, or its end, at a time of the run.
+/// Begin or end of a fault, with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// Microseconds since the start of the run.
     pub at: Micros,
-    /// What is done then.
+    /// Action that begins or ends the fault.
     pub action: FaultAction,
 }
 
-/// Indexes of hosts or nodes.
+/// Range of indexes of hosts or nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexRange {
-    /// The first one.
+    /// First index.
     pub start: u32,
-    /// The one after the last.
+    /// Index after the last one.
     pub end: u32,
 }
 
 impl IndexRange {
-    /// Every index.
+    /// Range of all indexes.
     pub const ALL: IndexRange = IndexRange {
         start: 0,
         end: u32::MAX,
     };
 
-    /// Whether it contains an index.
+    /// Returns whether the range contains an index.
     pub fn contains(self, index: u32) -> bool {
         (self.start..self.end).contains(&index)
     }
 
-    /// The indexes below `count`.
+    /// Returns the indexes of the range that are below `count`.
     pub fn below(self, count: u32) -> std::ops::Range<u32> {
         self.start.min(count)..self.end.min(count)
     }
 }
 
-/// What a schedule does at a time.
+/// Action of a fault schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// SIGKILL to hosts.
+    /// Sends SIGKILL to hosts.
     KillHosts(IndexRange),
     /// Starts hosts.
     StartHosts(IndexRange),
-    /// SIGTERM to hosts, and SIGKILL as on the platform.
+    /// Sends SIGTERM to hosts, and SIGKILL after a delay as on the platform.
     TerminateHosts(IndexRange),
-    /// SIGSTOP to hosts.
+    /// Sends SIGSTOP to hosts.
     PauseHosts(IndexRange),
-    /// SIGCONT to hosts.
+    /// Sends SIGCONT to hosts.
     ResumeHosts(IndexRange),
-    /// SIGHUP to hosts with a configuration that names the other discovery service.
+    /// Sends SIGHUP to hosts, with a configuration that names the other discovery service.
     RedirectHosts(IndexRange),
     /// Stops nodes.
     StopNodes(IndexRange),
@@ -136,40 +136,42 @@
     StartNodes(IndexRange),
     /// Makes nodes slower by a factor.
     SlowNodes(IndexRange, f64),
-    /// Starts another node of the same shard, cold, and drains these.
+    /// Drains nodes, and starts another node of the same shard, cold, for each of them.
     ReplaceNodes(IndexRange),
     /// Removes drained nodes.
     RemoveNodes(IndexRange),
-    /// Changes how the discovery service behaves.
+    /// Sets the behaviour of the discovery service.
     SetDiscoveryBehavior(ServiceBehavior),
-    /// Open watches of these hosts stay open and send nothing any more.
+    /// Makes the open watches of hosts stay open without sending anything.
     StallWatches(IndexRange),
     /// Makes polls take longer by a factor.
     SlowDiscovery(f64),
     /// Sets the fault of links, or heals them.
     SetLink {
-        /// Senders.
+        /// Peers that send.
         from: PeerSet,
-        /// Receivers.
+        /// Peers that receive.
         to: PeerSet,
-        /// The fault; the default one heals.
+        /// Fault to set; the default fault heals the links.
         fault: LinkFault,
     },
-    /// Multiplies the usual rate of clients.
+    /// Sets the rate of clients to this multiple of their usual rate.
     ScaleLoad(f64),
 }
 
-/// Hosts to a node of a scaled scenario.
+/// Number of hosts per node of a scaled scenario.
 const HOSTS_PER_NODE: u32 = 12;
-/// Bounds of the nodes of a scaled scenario: each host reaches each node at an address of its own, and one process
-/// holds them all.
+/// Minimum number of nodes of a scaled scenario.
 const MIN_SCALED_NODES: u32 = 4;
+/// Maximum number of nodes of a scaled scenario. Each host reaches each node at an address of its own, and one process
+/// holds all these sockets.
 const MAX_SCALED_NODES: u32 = 24;
-/// Volumes to a host, at least.
+/// Minimum number of volumes per host.
 const VOLUMES_PER_HOST: u32 = 2;
 
 impl Scenario {
-    /// The same scenario for so many hosts, with nodes and clients in proportion as far as one machine can play them.
+    /// Returns the scenario for another number of hosts, with nodes and clients in proportion as far as one machine can
+    /// run them.
     #[must_use]
     pub fn scaled(mut self, hosts: u32) -> Scenario {
         let nodes_before = f64::from(self.nodes);
@@ -180,13 +182,13 @@
         self
     }
 
-    /// Whether a host takes part in the membership protocol.
+    /// Returns whether a host takes part in the membership protocol.
     pub fn has_membership(&self, host: u32) -> bool {
         self.membership
             .is_some_and(|m| m.participants.contains(host))
     }
 
-    /// How many polls may wait: what the service handles in about a second.
+    /// Returns the maximum number of waiting polls: as many as the service handles in about a second.
     pub fn max_queued_polls(&self) -> u32 {
         (1_000_000 / self.service_time.max(1)).max(1) as u32
     }
--- a/crates/scenarios/src/fleet/arguments.rs
+++ b/crates/scenarios/src/fleet/arguments.rs
@@ -1,8 +1,8 @@
-//! Arguments that directives and faults share.
+//! Arguments that directives and faults of fleet scripts share.
 use super::IndexRange;
 use mallowseam_settings::Arguments;
 
-/// Indexes such as `3`, `2..5` (without 5) or `all`.
+/// Reads a range of indexes such as `3`, `2..5` (excluding 5) or `all`.
 pub(super) fn index_range(args: &mut Arguments) -> Option<IndexRange> {
     args.value("a number, a range such as 2..5, or all", |word| {
         if word == "all" {
--- a/crates/scenarios/src/fleet/audit_input.rs
+++ b/crates/scenarios/src/fleet/audit_input.rs
@@ -1,15 +1,15 @@
-//! What the audits need to know of a scenario, in their terms.
+//! Parameters of a scenario for the audits.
 use super::{FaultAction, IndexRange, Scenario};
 use mallowseam_audit::fleet;
 use mallowseam_audit::membership::{self, LinksSince, Pause};
 use mallowseam_audit::trace::Micros;
 use mallowseam_stand_ins::links::Links;
 
-/// Protocol period that counts where hosts keep no membership table.
+/// Protocol period, in microseconds, for scenarios whose hosts keep no membership table.
 const NO_PERIOD: Micros = 1;
 
 impl Scenario {
-    /// What the audit of the rules needs to know.
+    /// Returns the parameters for the audit of the rules.
     pub fn audited_run(&self) -> fleet::Run {
         fleet::Run {
             hosts: self.hosts,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// What the audit of membership tables needs to know.
+    /// Returns the parameters for the audit of membership tables.
     pub fn membership_run(&self) -> membership::Run<Links> {
         membership::Run {
             hosts: self.hosts,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Ends the last pause of a host. A later resume moves its end, as the schedule does with a host that runs.
+/// Ends the last pause of a host. A later resume moves that end, as it does in the schedule of a running host.
 fn end_pause(pauses: &mut [Pause], host: u32, at: Micros) {
     if let Some(pause) = pauses.iter_mut().rev().find(|p| p.host == host) {
         pause.to = Some(at);
--- a/crates/scenarios/src/fleet/faults.rs
+++ b/crates/scenarios/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Reads the lines `at TIME …` of a script: faults and when they end.
+//! Parser of the lines `at TIME …` of a script: faults, and the times at which they end.
 use super::arguments::index_range;
 use super::{FaultAction, ScheduledFault};
 use crate::arguments::DURATION;
@@ -6,7 +6,7 @@
 use mallowseam_settings::Arguments;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
 
-/// A fault as a line describes it: what begins it and what ends it. Without an end it takes no duration.
+/// Actions that begin and end the fault of a line. A fault without actions at its end has no duration.
 struct FaultActions {
     begin: Vec<FaultAction>,
     end: Vec<FaultAction>,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Reads the rest of a line behind `at`. A line that is not understood has been reported.
+/// Reads the arguments of `at`. If it returns none, a diagnostic has been added for the line.
 pub(super) fn parse_fault(args: &mut Arguments) -> Option<Vec<ScheduledFault>> {
     let at = args.duration(DURATION)?;
     let kinds = ["host", "node", "list", "link", "load"];
@@ -187,8 +187,8 @@
         } else if args.accept("spread") {
             fault.jitter = args.duration(DURATION)?;
         } else if args.accept("bytes") {
-            let rate = args.rate("bytes a second such as 9000/s")?;
-            // A script writes 0 for no limit.
+            let rate = args.rate("bytes per second such as 9000/s")?;
+            // In a script, 0 stands for no limit.
             fault.bytes_per_second = Some(rate).filter(|rate| *rate > 0.0);
         } else if args.accept("loss") {
             fault.loss = args.percent("a percentage")?;
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,10 +1,10 @@
-//! Scenarios that are played through hosts of `mallowseam`: scripts that say what a run consists of and which faults are
-//! injected when.
+//! Scenarios for runs of `mallowseam` hosts. A script describes the parts of a run, and the faults that are injected
+//! with their times.
 //!
-//! - [`rehearsal`]: scripts for hosts behind iSCSI. [`fleet`]: scripts for many hosts on the users' platform, and what
-//!   `mallowseam-audit` needs to know of them.
-//! - [`builtin`]: scripts that come with the testbed. [`fault_schedule`]: scripts of fleets drawn by a seed.
-//!   [`restart_schedule`]: scenarios of restarts drawn by a seed.
+//! - [`rehearsal`]: scripts for hosts behind iSCSI. [`fleet`]: scripts for many hosts on the users' platform, and the
+//!   parameters that `mallowseam-audit` needs of them.
+//! - [`builtin`]: scripts that come with the testbed. [`fault_schedule`]: scripts for fleets drawn from a seed.
+//!   [`restart_schedule`]: scenarios with restarts drawn from a seed.
 #![warn(missing_docs)]
 
 mod arguments;
--- a/crates/scenarios/src/rehearsal.rs
+++ b/crates/scenarios/src/rehearsal.rs
@@ -1,6 +1,6 @@
-//! Scenario scripts: a text file with the scenario in its head, one line for each fault, and behind a line `site` the
-//! sections of a configuration that all hosts share (fleet, plans, groups, volumes). `docs/rehearsals.md` lists every
-//! directive.
+//! Scripts for hosts behind iSCSI. A script begins with directives that describe the scenario and one line for each
+//! fault. After a line `site` it has the sections of the configuration that all hosts share (fleet, plans, groups,
+//! volumes). `docs/rehearsals.md` lists all directives.
 mod faults;
 mod parse;
 
@@ -9,12 +9,12 @@
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Micros;
 
-/// What a script describes.
+/// Scenario that a script describes. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Name of the script.
     pub name: String,
-    /// How long clients send commands.
+    /// Time for which clients send commands.
     pub duration: Micros,
     /// Number of host processes.
     pub hosts: u32,
@@ -24,73 +24,74 @@
     pub model: ServiceModel,
     /// Number of clients.
     pub clients: u32,
-    /// Commands a second of each client.
+    /// Commands per second of each client.
     pub command_rate: f64,
-    /// Part of the commands that write.
+    /// Fraction of the commands that are writes.
     pub write_fraction: f64,
-    /// How late the endpoint list service notifies hosts.
+    /// Lag of the notifications of the endpoint list service.
     pub list_lag: Micros,
     /// Whether hosts cache the endpoint list on disk.
     pub cached_list: bool,
     /// Whether connections use CRC32C digests.
     pub digests: bool,
-    /// The snapshot catalog, where one runs.
+    /// The snapshot catalog, if one runs.
     pub catalog: Option<CatalogScenario>,
-    /// A plan service runs, and limits are changed this often.
+    /// Interval between changes of limits; none if no plan service runs.
     pub plan_change_interval: Option<Micros>,
-    /// Faults, in order of time.
+    /// Begins and ends of faults, in order of time.
     pub events: Vec<Event>,
-    /// Sections that every host's configuration has.
+    /// Configuration sections that all hosts share.
     pub config_sections: String,
 }
 
-/// A snapshot catalog in a scenario.
+/// Snapshot catalog of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CatalogScenario {
-    /// Blocks of an extent of mapped volumes.
+    /// Number of blocks of an extent of mapped volumes.
     pub extent: u64,
     /// Name of the I/O class of extent copies.
     pub copy_class: String,
 }
 
-/// A fault and its time.
+/// Begin or end of a fault, with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When it happens.
+    /// Time of the event, since the start of the run.
     pub at: Micros,
-    /// What happens.
+    /// The fault that begins or ends.
     pub fault: Fault,
 }
 
-/// A node, host or client that a fault concerns.
+/// Node, host or client that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Selector {
     /// The one with this number.
     Number(u32),
-    /// One that the seed picks; the same number picks the same one again.
+    /// One drawn from the seed. The same number selects the same one again.
     Any(u32),
 }
 
-/// What happens; with a bool, whether it begins or ends. The names are those of the script's keywords.
+/// Begin or end of a fault. For variants with a `bool`, true begins the fault and false ends it. The variants are named
+/// after the keywords of the script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A node answers nothing and starts nothing new.
+    /// A node answers nothing and starts no new commands.
     NodeSilent(Selector, bool),
-    /// A node works on nothing.
+    /// A node suspends the execution of all commands.
     NodeStill(Selector, bool),
     /// A node accepts no connections.
     NodeDeaf(Selector, bool),
-    /// A node is this many times slower.
+    /// A node is slower by this factor.
     NodeSlow(Selector, f64),
-    /// A node fails this part of its commands.
+    /// A node fails this fraction of its commands.
     NodeErrors(Selector, f64),
-    /// A node never answers this part of the commands it has run.
+    /// A node does not answer this fraction of the commands that it has executed.
     NodeLoses(Selector, f64),
     /// A node's process ends.
     NodeCrash(Selector),
     /// A node's process starts again, cold.
     NodeStart(Selector),
-    /// A node closes every connection.
+    /// A node closes all connections.
     NodeReset(Selector),
     /// A node is listed as draining.
     NodeDrain(Selector),
@@ -102,35 +103,35 @@
     HostStart(Selector),
     /// A host's process receives SIGTERM.
     HostTerm(Selector),
-    /// A host's process is stopped by SIGSTOP, or goes on.
+    /// A host's process receives SIGSTOP, or SIGCONT.
     HostStall(Selector, bool),
-    /// A host is requested by its control socket to drain.
+    /// A host receives a request to drain on its control socket.
     HostDrain(Selector),
     /// A client disconnects with its commands in flight.
     ClientDrop(Selector),
-    /// A client sends half a write, then nothing.
+    /// A client sends part of a write, then nothing.
     ClientStall(Selector, bool),
-    /// A client requests much and reads nothing.
+    /// A client sends many reads and does not receive their answers.
     ClientDeaf(Selector, bool),
-    /// A client logs in again while its old connection looks alive.
+    /// A client logs in again without closing its old connection.
     ClientAgain(Selector),
-    /// This many connections never finish their login.
+    /// This many new connections never complete their login.
     HalfLogins(u32),
-    /// This many connections send malformed PDUs.
+    /// This many new connections send malformed PDUs.
     Garbage(u32),
-    /// Clients of one plan send this multiple of their usual commands.
+    /// Clients of one plan send commands at this multiple of their usual rate.
     Surge(String, f64),
-    /// All clients send this multiple of their usual commands.
+    /// All clients send commands at this multiple of their usual rate.
     Load(f64),
-    /// The endpoint list service notifies hosts this late; [`Micros::MAX`] means the script's own lag.
+    /// The endpoint list service notifies hosts with this lag; [`Micros::MAX`] stands for the lag of the scenario.
     ListLag(Micros),
-    /// The endpoint list service is away, or back.
+    /// The endpoint list service becomes unavailable, or available again.
     ListAway(bool),
-    /// The endpoint list service sends an old list again.
+    /// The endpoint list service sends a stale list.
     ListBackwards,
-    /// A snapshot of a volume is requested under a name.
+    /// A snapshot of a volume is requested: the volume, and the name of the snapshot.
     Snapshot(String, String),
-    /// A clone of a snapshot (`VOLUME@NAME`) is requested under a name.
+    /// A clone of a snapshot is requested: the snapshot as `VOLUME@NAME`, and the name of the clone.
     Clone(String, String),
     /// The snapshot catalog's process receives SIGKILL.
     CatalogKill,
@@ -140,6 +141,6 @@
     ControlKill,
     /// The plan service's process is started again.
     ControlStart,
-    /// The limit and burst of the plan with this index become this multiple of the script's.
+    /// The limit and burst of the plan with this index are set to this multiple of those in the script.
     PlanChange(usize, f64),
 }
--- a/crates/scenarios/src/rehearsal/faults.rs
+++ b/crates/scenarios/src/rehearsal/faults.rs
@@ -20,7 +20,7 @@
     "control",
 ];
 
-/// A fault, and what ends it where it has a duration.
+/// Fault, and the event that ends it if the fault has a duration.
 struct FaultSpan {
     begins: Fault,
     ends: Option<Fault>,
@@ -41,13 +41,13 @@
         }
     }
 
-    /// A fault whose variant takes a bool: true at its beginning, false at its end.
+    /// Creates a fault whose variant has a `bool`: true at its begin, false at its end.
     fn switched(fault: impl Fn(bool) -> Fault) -> Self {
         FaultSpan::lasting(fault(true), fault(false))
     }
 }
 
-/// Reads the arguments of `at`: an event, and the one that ends it.
+/// Reads the arguments of `at`. Returns the event, and the one that ends the fault if it has a duration.
 pub(super) fn parse(args: &mut Arguments) -> Option<Vec<Event>> {
     let at = args.duration(DURATION)?;
     let kind = args.value(KINDS, |word| KIND_WORDS.into_iter().find(|k| *k == word))?;
@@ -74,8 +74,8 @@
         "list" => list(args)?,
         "surge" => {
             let plan = args.text("the name of a plan")?;
-            let times = args.number("a multiple", 0.0, 100.0)?;
-            FaultSpan::lasting(Fault::Surge(plan.clone(), times), Fault::Surge(plan, 1.0))
+            let factor = args.number("a multiple", 0.0, 100.0)?;
+            FaultSpan::lasting(Fault::Surge(plan.clone(), factor), Fault::Surge(plan, 1.0))
         }
         "snapshot" => FaultSpan::instant(Fault::Snapshot(
             args.text("a volume")?,
@@ -86,11 +86,11 @@
             args.text("a name")?,
         )),
         "catalog" => {
-            kill(args)?;
+            expect_kill(args)?;
             FaultSpan::lasting(Fault::CatalogKill, Fault::CatalogStart)
         }
         "control" => {
-            kill(args)?;
+            expect_kill(args)?;
             FaultSpan::lasting(Fault::ControlKill, Fault::ControlStart)
         }
         "load" => FaultSpan::lasting(
@@ -104,7 +104,7 @@
     })
 }
 
-fn kill(args: &mut Arguments) -> Option<()> {
+fn expect_kill(args: &mut Arguments) -> Option<()> {
     args.value("kill", |word| (word == "kill").then_some(()))
 }
 
@@ -118,8 +118,8 @@
     })
 }
 
-/// Reports an unknown word where one of `expected` stands.
-fn unknown(args: &mut Arguments, expected: &str) -> Option<FaultSpan> {
+/// Reports an unknown word in place of one of the expected words.
+fn report_unknown(args: &mut Arguments, expected: &str) -> Option<FaultSpan> {
     args.value::<()>(expected, |_| None);
     None
 }
@@ -133,22 +133,28 @@
         "still" => FaultSpan::switched(|on| Fault::NodeStill(node, on)),
         "deaf" => FaultSpan::switched(|on| Fault::NodeDeaf(node, on)),
         "slow" => {
-            let times = args.number("a multiple", 0.01, 1000.0)?;
-            FaultSpan::lasting(Fault::NodeSlow(node, times), Fault::NodeSlow(node, 1.0))
+            let factor = args.number("a multiple", 0.01, 1000.0)?;
+            FaultSpan::lasting(Fault::NodeSlow(node, factor), Fault::NodeSlow(node, 1.0))
         }
         "errors" => {
-            let part = args.percent("a percentage")?;
-            FaultSpan::lasting(Fault::NodeErrors(node, part), Fault::NodeErrors(node, 0.0))
+            let fraction = args.percent("a percentage")?;
+            FaultSpan::lasting(
+                Fault::NodeErrors(node, fraction),
+                Fault::NodeErrors(node, 0.0),
+            )
         }
         "loses" => {
-            let part = args.percent("a percentage")?;
-            FaultSpan::lasting(Fault::NodeLoses(node, part), Fault::NodeLoses(node, 0.0))
+            let fraction = args.percent("a percentage")?;
+            FaultSpan::lasting(
+                Fault::NodeLoses(node, fraction),
+                Fault::NodeLoses(node, 0.0),
+            )
         }
         "crash" => FaultSpan::lasting(Fault::NodeCrash(node), Fault::NodeStart(node)),
         "reset" => FaultSpan::instant(Fault::NodeReset(node)),
         "drain" => FaultSpan::lasting(Fault::NodeDrain(node), Fault::NodeUndrain(node)),
         _ => {
-            return unknown(
+            return report_unknown(
                 args,
                 "silent, still, deaf, slow, errors, loses, crash, reset or drain",
             );
@@ -164,7 +170,7 @@
         "term" => FaultSpan::lasting(Fault::HostTerm(host), Fault::HostStart(host)),
         "stall" => FaultSpan::switched(|on| Fault::HostStall(host, on)),
         "drain" => FaultSpan::instant(Fault::HostDrain(host)),
-        _ => return unknown(args, "kill, term, stall or drain"),
+        _ => return report_unknown(args, "kill, term, stall or drain"),
     })
 }
 
@@ -176,7 +182,7 @@
         "stall" => FaultSpan::switched(|on| Fault::ClientStall(client, on)),
         "deaf" => FaultSpan::switched(|on| Fault::ClientDeaf(client, on)),
         "again" => FaultSpan::instant(Fault::ClientAgain(client)),
-        _ => return unknown(args, "drop, stall, deaf or again"),
+        _ => return report_unknown(args, "drop, stall, deaf or again"),
     })
 }
 
@@ -189,6 +195,6 @@
         }
         "away" => FaultSpan::switched(Fault::ListAway),
         "backwards" => FaultSpan::instant(Fault::ListBackwards),
-        _ => return unknown(args, "lag, away or backwards"),
+        _ => return report_unknown(args, "lag, away or backwards"),
     })
 }
--- a/crates/scenarios/src/rehearsal/parse.rs
+++ b/crates/scenarios/src/rehearsal/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the head of a script.
+//! Parser of the directives of a script.
 use super::{CatalogScenario, Scenario, faults};
 use crate::arguments::{DURATION, cold_start, node_option};
 use mallowseam_audit::service_model::ServiceModel;
@@ -10,7 +10,7 @@
 /// Reads a script.
 ///
 /// # Errors
-/// All mistakes in the script at once.
+/// Diagnostics for all mistakes in the script.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, Diagnostics> {
     let mut diagnostics = Diagnostics::new(file);
     let mut scenario = default_scenario(file);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Reads one line of the head. False where the directive is unknown.
+/// Reads one directive. Returns whether the directive is known.
 fn directive(scenario: &mut Scenario, name: &str, args: &mut Arguments) -> bool {
     match name {
         "day" => scenario.duration = args.duration(DURATION).unwrap_or(1),
@@ -118,7 +118,7 @@
     scenario.clients = args.integer("1 to 1000", 1, 1000).unwrap_or(1) as u32;
     while args.has_more() {
         if args.accept("rate") {
-            scenario.command_rate = args.rate("commands a second such as 5/s").unwrap_or(0.0);
+            scenario.command_rate = args.rate("commands per second such as 5/s").unwrap_or(0.0);
         } else if args.accept("posts") {
             scenario.write_fraction = args.percent("a percentage").unwrap_or(0.0);
         } else {
--- a/crates/scenarios/src/restart_schedule.rs
+++ b/crates/scenarios/src/restart_schedule.rs
@@ -1,5 +1,5 @@
-//! Short scenarios in which hosts are restarted in series while nodes, links and the discovery service fail: all drawn
-//! by a seed.
+//! Short scenarios in which hosts are restarted repeatedly while nodes, links and the discovery service have faults.
+//! All faults and times are drawn from a seed.
 use crate::fleet::{
     FaultAction, IndexRange, InitialList, MembershipScenario, Scenario, ScheduledFault,
 };
@@ -15,27 +15,28 @@
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000 * MILLISECOND;
-/// The first fault begins once all hosts have started.
+/// Start of the first fault, when all hosts have started.
 const FIRST_FAULT: Micros = SECOND;
-/// The last restart begins so long before the end of the run: the hosts have time to be ready again.
+/// Time from the last restart to the end of the run, in which the hosts become ready again.
 const LAST_RESTART_BEFORE_END: Micros = 8 * SECOND;
-/// From SIGTERM until the platform sends SIGKILL, past the longest deadline; a longer one counts as 3 s.
+/// Time beyond the longest deadline that the platform waits between SIGTERM and SIGKILL.
 const KILL_DELAY: Micros = 700 * MILLISECOND;
+/// Longest deadline that the platform waits for between SIGTERM and SIGKILL; a longer one counts as this.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
-/// A host is started again no sooner than this after the kill.
+/// Minimum time from the kill of a host to its next start.
 const RESTART_MARGIN: Micros = 100 * MILLISECOND;
-/// Load on a node, in block I/Os a second.
+/// Load on a node, in block I/Os per second.
 const RATE_PER_NODE: f64 = 40.0;
-/// Factor of a node that hangs through a shutdown.
+/// Factor by which a node is slowed that hangs for the whole shutdown of a host.
 const HANG_FACTOR: f64 = 1_000.0;
-/// Distinguishes these draws from others of the same seed.
+/// Salt that makes these draws differ from others with the same seed.
 const SEED_SALT: u64 = 0x7e57_a127;
 
-/// Draws a scenario of 14 to 22 s, for 3 to 8 hosts unless their number is given.
+/// Draws a scenario of 14 to 22 s, with 3 to 8 hosts unless their number is given.
 pub fn random_scenario(seed: u64, hosts: Option<u32>) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT);
     let drawn_hosts = rng.random_range(3..=8);
-    let scenario = draw_setting(&mut rng, seed, hosts.unwrap_or(drawn_hosts));
+    let scenario = draw_scenario(&mut rng, seed, hosts.unwrap_or(drawn_hosts));
     let mut schedule = Schedule {
         host_free_at: vec![FIRST_FAULT; scenario.hosts as usize],
         rng,
@@ -50,7 +51,7 @@
     scenario
 }
 
-fn draw_setting(rng: &mut Pcg64Mcg, seed: u64, hosts: u32) -> Scenario {
+fn draw_scenario(rng: &mut Pcg64Mcg, seed: u64, hosts: u32) -> Scenario {
     let nodes = rng.random_range(3..=8);
     let membership = MembershipScenario {
         period: 100 * MILLISECOND,
@@ -110,11 +111,11 @@
     rng.random_range(range)
 }
 
-/// A schedule in the making.
+/// Schedule under construction.
 struct Schedule {
     rng: Pcg64Mcg,
     scenario: Scenario,
-    /// When each host may be restarted again: it has started, and may not be ready yet.
+    /// Time from which on each host may be restarted again. The host has started by then, but may not be ready.
     host_free_at: Vec<Micros>,
 }
 
@@ -123,7 +124,7 @@
         self.scenario.faults.push(ScheduledFault { at, action });
     }
 
-    /// The longest time that the platform gives a host between SIGTERM and SIGKILL.
+    /// Returns the longest time that the platform waits between SIGTERM and SIGKILL.
     fn time_to_kill(&self) -> Micros {
         let load = &self.scenario.load;
         load.write_timeout
@@ -132,7 +133,7 @@
             + KILL_DELAY
     }
 
-    /// One host after another, or two at once, until the last restart that fits into the run.
+    /// Adds restarts of one host, or of two at once, up to the last time at which a restart fits into the run.
     fn add_restarts(&mut self) {
         let last = self.scenario.duration - LAST_RESTART_BEFORE_END;
         let mut at = FIRST_FAULT;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Restarts a host, unless it is being restarted.
+    /// Adds a restart of a host, unless the host is being restarted.
     fn add_restart(&mut self, at: Micros, host: u32) {
         if self.host_free_at[host as usize] > at {
             return;
@@ -166,12 +167,12 @@
         };
         let start = at + until_start;
         self.add(start, FaultAction::StartHosts(hosts));
-        // It may be told to end again right after its start, before it has a list.
+        // The host may receive the next SIGTERM right after its start, before it has a list.
         let until_next = draw(&mut self.rng, 20 * MILLISECOND..2 * SECOND);
         self.host_free_at[host as usize] = start + until_next;
     }
 
-    /// Further signals shortly before, during or after the shutdown.
+    /// Adds further signals shortly before, during or after the shutdown.
     fn add_signals_around(&mut self, at: Micros, hosts: IndexRange, kind: u32) {
         let offset = draw(&mut self.rng, MILLISECOND..300 * MILLISECOND);
         match kind {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Nodes that hang or are slow, that stop without a word, or that drain, through a part of the restarts.
+    /// Adds nodes that hang, are slow, stop without notice or drain during some of the restarts.
     fn add_node_faults(&mut self) {
         for _ in 0..self.rng.random_range(0..=3) {
             let node = single(self.rng.random_range(0..self.scenario.nodes));
@@ -229,8 +230,8 @@
         );
     }
 
-    /// A fault between one host and the nodes, or between all hosts. The links of clients have none: what a host owes its
-    /// clients is judged throughout.
+    /// Adds a fault of the links between one host and the nodes, the discovery services or the other hosts. The links
+    /// of clients have no faults, because the responses to clients are checked for the whole run.
     fn add_link_fault(&mut self) {
         let host = PeerSet::Single(Peer::Host(self.rng.random_range(0..self.scenario.hosts)));
         let (peers, fault) = match self.rng.random_range(0..5) {
@@ -281,7 +282,7 @@
         }
     }
 
-    /// Any time from the first fault to the last restart.
+    /// Draws a time between the first fault and the last restart.
     fn draw_fault_time(&mut self) -> Micros {
         let last = self.scenario.duration - LAST_RESTART_BEFORE_END;
         draw(&mut self.rng, FIRST_FAULT..last)
--- a/crates/scenarios/tests/fault_schedule.rs
+++ b/crates/scenarios/tests/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Scripts that a seed draws.
+//! Scripts drawn from a seed. A seed could draw a script that does not parse, or a kind of fault could never occur.
 use mallowseam_scenarios::{fault_schedule, fleet};
 
 #[test]
--- a/crates/scenarios/tests/membership_audit.rs
+++ b/crates/scenarios/tests/membership_audit.rs
@@ -1,4 +1,4 @@
-//! Fabricated membership samples: each kind of fault in them is found, and a converged fleet has none.
+//! Membership audit on constructed samples. The audit could miss a kind of fault, or report one in a converged fleet.
 use mallowseam_audit::fleet::record::{Event, Observation, Termination};
 use mallowseam_audit::membership::{MembershipSample, SampledMember};
 use mallowseam_audit::membership::{MembershipVerdict, check};
@@ -6,7 +6,8 @@
 use mallowseam_scenarios::fleet;
 
 const SECOND: u64 = 1_000_000;
-/// Periods of 100 ms: rediscovery within 7.5 s, detection of a kill within 3.5 s, convergence within 12 s.
+/// First lines of each script. The protocol period is 100 ms, so the bounds are 7.5 s for rediscovery, 3.5 s for the
+/// detection of a kill and 12 s for convergence.
 const HEAD: &str = "day 60s\nhosts 3 known now\nzones 2\nview period 100ms seeds 1\nnodes 1 cores 1 work 5ms queue 32\n\
     lines 64 1ms\ncold 25% 3s 4 1s 60 3s\nclients rate 1/s\nlist takes 10ms patience 1s lag 0ms\n";
 
@@ -36,8 +37,8 @@
     MemberState::Unreachable,
 ];
 
-/// Each of three hosts reports the states that `observed` returns, each second; the third host ends as given, if it
-/// does.
+/// Returns the verdict on a run in which each of three hosts reports the states that `observed` returns, once a second.
+/// The third host ends as `ends` says, if it does.
 fn verdict_of(
     script: &str,
     ends: Option<(u64, Termination)>,
@@ -62,12 +63,12 @@
     let samples: Vec<MembershipSample> = reports
         .map(|(at, host)| sample(at, host, observed(at, host)))
         .collect();
-    let scenario = fleet::parse("story", &format!("{HEAD}{script}")).expect("a sound script");
+    let scenario = fleet::parse("story", &format!("{HEAD}{script}")).expect("a valid script");
     let run = scenario.membership_run();
     check(&run, &record, &samples)
 }
 
-/// Converged hosts, of those that run.
+/// Returns the numbers of converged and of running hosts.
 fn converged(verdict: &MembershipVerdict) -> (usize, usize) {
     (verdict.converged_hosts, verdict.running_hosts)
 }
@@ -111,7 +112,7 @@
     );
     assert!(
         (24.0..=28.0).contains(&late.false_unreachable_seconds),
-        "held unreachable though it runs: {late}"
+        "a running host was held unreachable: {late}"
     );
     let excused = |script: &str| {
         verdict_of(script, None, |at, host| {
@@ -122,17 +123,17 @@
     assert_eq!(
         excused("at 1s link host1 host2 one-way silent for 35s\n"),
         0.0,
-        "the observer does not reach it"
+        "the observer does not reach the host"
     );
     assert_eq!(
         excused("at 1s host 2 stall for 35s\n"),
         0.0,
-        "it is stopped"
+        "the host is stopped"
     );
     assert_eq!(
         excused("at 1s link host1 host2 slow 60ms for 35s\n"),
         0.0,
-        "slower than half a period"
+        "the link is slower than half a period"
     );
     assert!(excused("at 1s link host1 host2 slow 40ms for 35s\n") > 20.0);
     let undetected = verdict_of(
--- a/crates/scenarios/tests/pinned.rs
+++ b/crates/scenarios/tests/pinned.rs
@@ -1,5 +1,5 @@
-//! Pinned results of the scripts, as the code gave them before its names and modules changed. A pin that fails means that
-//! a value, a random draw or a text has changed.
+//! Pinned results of the scripts. A test that fails means that a value, a random draw or the text of a diagnostic has
+//! changed.
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_scenarios::rehearsal::{Scenario, parse};
 use mallowseam_scenarios::{builtin, fault_schedule};
@@ -87,13 +87,13 @@
         scenario.config_sections
     );
     for event in &scenario.events {
-        writeln!(out, "{} {:?}", event.at, event.fault).expect("memory");
+        writeln!(out, "{} {:?}", event.at, event.fault).expect("writing to a string succeeds");
     }
     out
 }
 
 #[test]
-fn scripts_and_their_schedules() {
+fn parsed_scripts_and_diagnostics_are_unchanged() {
     let scripts = [
         (
             "bad-day",
@@ -126,7 +126,7 @@
     for (name, text, expected) in scripts {
         pinned(
             name,
-            &scenario_text(&parse(name, text).expect("a sound script")),
+            &scenario_text(&parse(name, text).expect("a valid script")),
             expected,
         );
     }
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn drawn_fault_schedules_are_as_recorded() {
+fn drawn_fault_schedules_are_unchanged() {
     let mut digest = Digest::default();
     for hosts in [3, 10, 40, 300] {
         (0..20).for_each(|seed| {
--- a/crates/scenarios/tests/restart_schedule.rs
+++ b/crates/scenarios/tests/restart_schedule.rs
@@ -1,11 +1,12 @@
-//! Scenarios of restarts that are drawn by a seed.
+//! Scenarios of restarts drawn from a seed. A seed could draw different scenarios each time, or start a host before it
+//! may have been killed.
 use mallowseam_scenarios::fleet::{FaultAction, Scenario};
 use mallowseam_scenarios::restart_schedule::random_scenario;
 
 const SEEDS: std::ops::Range<u64> = 0..200;
 const MILLISECOND: u64 = 1_000;
 
-/// Times at which an action is done to a host.
+/// Returns the times at which an action affects a host.
 fn times(scenario: &Scenario, host: u32, is_action: impl Fn(&FaultAction) -> bool) -> Vec<u64> {
     let is_of_host = |action: &FaultAction| match action {
         FaultAction::TerminateHosts(hosts)
@@ -27,11 +28,11 @@
     let all: std::collections::BTreeSet<String> = SEEDS
         .map(|seed| format!("{:?}", random_scenario(seed, None).faults))
         .collect();
-    assert_eq!(all.len(), SEEDS.count(), "and no two the same");
+    assert_eq!(all.len(), SEEDS.count(), "two seeds draw the same faults");
 }
 
 #[test]
-fn hosts_are_terminated_and_started_again_no_sooner_than_they_may_be_killed() {
+fn hosts_are_started_again_no_sooner_than_they_may_be_killed() {
     let mut terminations = 0;
     for scenario in SEEDS.map(|seed| random_scenario(seed, None)) {
         let longest = scenario.load.write_timeout.max(scenario.load.read_timeout);
@@ -43,7 +44,7 @@
             });
             terminations += ends.len();
             for start in starts {
-                // The first signal since the start before counts.
+                // The time runs from the first signal since the previous start.
                 let before = times(&scenario, host, |a| matches!(a, FaultAction::StartHosts(_)));
                 let previous = before
                     .into_iter()
