--- a/crates/audit/src/rehearsal/commands.rs
+++ b/crates/audit/src/rehearsal/commands.rs
@@ -32,7 +32,7 @@
     pub(super) answered: Option<(Micros, u8)>,
     pub(super) abandoned: bool,
     /// Id of the write whose data each block of the answer holds; none where the data is corrupt.
-    pub(super) shown: Vec<Option<u64>>,
+    pub(super) read_ids: Vec<Option<u64>>,
     pub(super) attempts: Vec<Attempt>,
 }
 
--- a/crates/audit/src/rehearsal/data.rs
+++ b/crates/audit/src/rehearsal/data.rs
@@ -39,23 +39,23 @@
             let Some(ended) = read.completed_at() else {
                 continue;
             };
-            if read.shown.len() != read.blocks as usize {
+            if read.read_ids.len() != read.blocks as usize {
                 lines.push(format!(
                     "read {} was answered with a wrong number of blocks: {}",
                     read.id,
-                    read.shown.len()
+                    read.read_ids.len()
                 ));
             }
             let span = ReadSpan {
                 began: read.sent_at,
                 ended,
             };
-            for (lba, shown) in (read.lba..).zip(&read.shown) {
+            for (lba, read_id) in (read.lba..).zip(&read.read_ids) {
                 checked += 1;
                 let all = writes
                     .get(&(read.volume, lba))
                     .map_or(&[][..], Vec::as_slice);
-                if let Some(why) = self.data_error(span, *shown, all) {
+                if let Some(why) = self.data_error(span, *read_id, all) {
                     let volume = &self.config.volumes[read.volume].name;
                     let at = seconds(ended);
                     lines.push(format!(
@@ -71,11 +71,11 @@
 
     /// Returns the reason for which a block must not hold the data of this write, if there is one. `all` are the writes
     /// to the block, in the order in which they were sent.
-    fn data_error(&self, span: ReadSpan, shown: Option<u64>, all: &[&Command]) -> Option<String> {
-        let Some(id) = shown else {
+    fn data_error(&self, span: ReadSpan, read_id: Option<u64>, all: &[&Command]) -> Option<String> {
+        let Some(id) = read_id else {
             return Some("holds data that no client wrote".into());
         };
-        // Completed before the read began.
+        // Whether a write completed before the read began.
         let completed_before = |c: &&&Command| c.completed_at().is_some_and(|at| at < span.began);
         if id == 0 {
             let lost = all.iter().find(completed_before)?;
@@ -131,14 +131,14 @@
                 began: *requested_at,
                 ended: entry.at,
             };
-            for (lba, shown) in (0u64..).zip(blocks) {
+            for (lba, read_id) in (0u64..).zip(blocks) {
                 let all = writes
                     .get(&(*volume as usize, lba))
                     .map_or(&[][..], Vec::as_slice);
-                if let Some(why) = self.data_error(span, *shown, all) {
+                if let Some(why) = self.data_error(span, *read_id, all) {
                     lines.push(format!("{name} block {lba}: {why}"));
                 }
-                let Some(command) = shown.and_then(|id| all.iter().find(|c| c.id == id)) else {
+                let Some(command) = read_id.and_then(|id| all.iter().find(|c| c.id == id)) else {
                     continue;
                 };
                 lines.extend(self.torn_writes(name, blocks, lba, command));
@@ -164,9 +164,9 @@
             if writer.completed_at().is_none() && other / extent != lba / extent {
                 continue;
             }
-            let shown = blocks.get(other as usize).copied().flatten().unwrap_or(0);
-            let shown = self.commands.iter().find(|c| c.id == shown);
-            if shown.is_none_or(|c| c.sent_at < writer.sent_at) {
+            let read_id = blocks.get(other as usize).copied().flatten().unwrap_or(0);
+            let held_write = self.commands.iter().find(|c| c.id == read_id);
+            if held_write.is_none_or(|c| c.sent_at < writer.sent_at) {
                 lines.push(format!(
                     "{snapshot} holds data of write {} in block {lba} but not in block {other}",
                     writer.id
--- a/crates/audit/src/rehearsal/gather.rs
+++ b/crates/audit/src/rehearsal/gather.rs
@@ -198,7 +198,7 @@
             sent_at: entry.at,
             answered: None,
             abandoned: false,
-            shown: Vec::new(),
+            read_ids: Vec::new(),
             attempts: Vec::new(),
         };
         index.add(&command, group_number, self.commands.len());
@@ -219,7 +219,7 @@
         self.config.volumes[volume].rules.iter().find(applies)
     }
 
-    fn command_answered(&mut self, i: usize, answer: (Micros, u8), shown: &[Option<u64>]) {
+    fn command_answered(&mut self, i: usize, answer: (Micros, u8), read_ids: &[Option<u64>]) {
         if self.commands[i].answered.is_some() {
             self.verdict.duplicated += 1;
             let at = seconds(answer.0);
@@ -227,7 +227,7 @@
             self.verdict.violation(Rule::OneAnswer, line);
         }
         self.commands[i].answered = Some(answer);
-        self.commands[i].shown = shown.to_vec();
+        self.commands[i].read_ids = read_ids.to_vec();
     }
 
     /// Assigns an attempt that a node received to its command. An attempt without a command violates the rule of one
--- a/crates/audit/src/rehearsal/ordering.rs
+++ b/crates/audit/src/rehearsal/ordering.rs
@@ -10,7 +10,7 @@
 const COMPARED_COMMANDS: usize = 8;
 
 impl Audit<'_> {
-    /// Checks rule 5.
+    /// Checks rule 5 for all commands with an ordering key in ordered I/O classes.
     pub(super) fn check_order(&mut self) {
         let mut keys: BTreeMap<(u32, usize, u64), Vec<&Command>> = BTreeMap::new();
         for command in &self.commands {
--- a/crates/audit/tests/fleet/steady_service.rs
+++ b/crates/audit/tests/fleet/steady_service.rs
@@ -1,4 +1,5 @@
-//! Start of steady service, computed from the success rate of each second.
+//! Start of steady service, computed from the success rate of each second. A dip could be overlooked, or the last
+//! second, which the end of the run cuts off, could count.
 use mallowseam_audit::fleet::{SecondSummary, Verdict};
 
 fn steady_from(within_objective: &[u32]) -> Option<usize> {
--- a/crates/audit/tests/rehearsal/budgets.rs
+++ b/crates/audit/tests/rehearsal/budgets.rs
@@ -1,4 +1,5 @@
-//! Rules 6 and 7: retry budgets and volume limits.
+//! Rules 6 and 7: retry budgets and volume limits. Too many retries or units could go unreported, or the use of the
+//! whole budget or burst could be reported.
 use crate::record::valid_record;
 use mallowseam_audit::rehearsal::EffectiveLimit;
 use mallowseam_audit::rehearsal::Layout;
--- a/crates/audit/tests/rehearsal/delivery.rs
+++ b/crates/audit/tests/rehearsal/delivery.rs
@@ -1,4 +1,5 @@
-//! Rules 1 and 2: one final answer, and no duplicate effect.
+//! Rules 1 and 2: one final answer, and no duplicate effect. A missing, late or second answer, or a repeated write,
+//! could go unreported.
 use crate::record::valid_record;
 use mallowseam_audit::trace::TraceEvent;
 use mallowseam_iscsi::scsi::status;
@@ -16,7 +17,7 @@
     let mut run = valid_record();
     run.send(100, 5, false, 8);
     assert_eq!((run.violated_rules(), run.judge().unanswered), (vec![1], 1));
-    run.note(150, TraceEvent::CommandAbandoned { command: 5 });
+    run.add_event(150, TraceEvent::CommandAbandoned { command: 5 });
     assert!(run.violated_rules().is_empty(), "{:?}", run.judge());
 }
 
@@ -24,7 +25,7 @@
 fn commands_in_flight_at_a_killed_host_need_no_answer() {
     let mut run = valid_record();
     run.send(100, 5, false, 8)
-        .note(300, TraceEvent::HostDown { host: 0 });
+        .add_event(300, TraceEvent::HostDown { host: 0 });
     assert!(run.violated_rules().is_empty(), "{:?}", run.judge());
 }
 
@@ -44,7 +45,7 @@
     run.answer(70, 4, status::GOOD, Some(3));
     assert_eq!((run.violated_rules(), run.judge().duplicated), (vec![1], 1));
     let mut run = valid_record();
-    run.note(70, TraceEvent::UnexpectedAnswer { client: 0 });
+    run.add_event(70, TraceEvent::UnexpectedAnswer { client: 0 });
     assert_eq!((run.violated_rules(), run.judge().duplicated), (vec![1], 1));
 }
 
@@ -59,7 +60,7 @@
 fn attempt_without_a_matching_command_is_reported() {
     let mut run = valid_record();
     run.send(100, 5, false, 8)
-        .note(105, TraceEvent::CommandAbandoned { command: 5 });
+        .add_event(105, TraceEvent::CommandAbandoned { command: 5 });
     run.sent[4].4 = 30;
     run.node_receives(110, 5);
     assert_eq!(run.violated_rules(), [1]);
--- a/crates/audit/tests/rehearsal/nodes.rs
+++ b/crates/audit/tests/rehearsal/nodes.rs
@@ -1,4 +1,5 @@
-//! Rules 3 and 4: draining nodes, and nodes in slow start.
+//! Rules 3 and 4: draining nodes, and nodes in slow start. A late command for a draining node or an overload could go
+//! unreported, or be reported within the grace time or the tolerance.
 use crate::record::valid_record;
 use mallowseam_audit::trace::TraceEvent;
 
@@ -6,7 +7,7 @@
 fn attempt_at_a_draining_node_is_reported_past_the_grace_time() {
     for (at, expected) in [(400, vec![]), (700, vec![3])] {
         let mut run = valid_record();
-        run.note(
+        run.add_event(
             100,
             TraceEvent::HostNotified {
                 host: 0,
@@ -14,7 +15,7 @@
                 active: false,
             },
         );
-        run.note(
+        run.add_event(
             120,
             TraceEvent::HostNotified {
                 host: 1,
@@ -24,7 +25,7 @@
         );
         run.complete_command(at, 5, false, 0, 8, 0);
         assert_eq!(run.violated_rules(), expected, "command at {at} ms");
-        run.note(
+        run.add_event(
             at - 50,
             TraceEvent::HostNotified {
                 host: 0,
@@ -40,13 +41,13 @@
 fn overload_of_a_node_in_slow_start_is_reported() {
     for (n, expected) in [(5, vec![]), (7, vec![4])] {
         let mut run = valid_record();
-        run.note(90, TraceEvent::NodeUp { node: 0 });
+        run.add_event(90, TraceEvent::NodeUp { node: 0 });
         for op in 0..n {
             run.complete_command(100 + op, 10 + op, false, 0, 8, 0);
         }
         assert_eq!(run.violated_rules(), expected, "{n} units");
     }
     let mut run = valid_record();
-    run.note(90, TraceEvent::NodeOverloaded { node: 1 });
+    run.add_event(90, TraceEvent::NodeOverloaded { node: 1 });
     assert_eq!(run.violated_rules(), [4]);
 }
--- a/crates/audit/tests/rehearsal/ordering.rs
+++ b/crates/audit/tests/rehearsal/ordering.rs
@@ -1,4 +1,5 @@
-//! Rule 5: order of block I/Os of one ordering key.
+//! Rule 5: order of block I/Os of one ordering key. Overlapping or reordered writes could go unreported, also where an
+//! interrupted write may still be executed.
 use crate::record::valid_record;
 use mallowseam_audit::trace::TraceEvent;
 use mallowseam_iscsi::scsi::status;
@@ -43,7 +44,7 @@
             let mut run = valid_record();
             run.send(100, 5, true, 8).send(101, 6, true, 8);
             assert_eq!(run.node_receives(110, 5), 5);
-            run.note(1_000, interruption)
+            run.add_event(1_000, interruption)
                 .answer(1_001, 5, status::CHECK_CONDITION, None);
             let task = run.node_receives(next_at, 6);
             run.node_answers(next_at + 5, 0, task, status::GOOD).answer(
--- a/crates/audit/tests/rehearsal/pinned_capacity.rs
+++ b/crates/audit/tests/rehearsal/pinned_capacity.rs
@@ -1,4 +1,4 @@
-//! Pinned capacity of nodes in slow start. Stand-ins and the audit must agree on it.
+//! Pinned capacity of nodes in slow start. Stand-ins and the audit share it, so a change affects both.
 use crate::site::service_model;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_test_support::Digest;
--- a/crates/audit/tests/rehearsal/record.rs
+++ b/crates/audit/tests/rehearsal/record.rs
@@ -18,7 +18,7 @@
 }
 
 impl RecordBuilder {
-    pub(crate) fn note(&mut self, at: Micros, event: TraceEvent) -> &mut Self {
+    pub(crate) fn add_event(&mut self, at: Micros, event: TraceEvent) -> &mut Self {
         self.entries.push(TraceEntry { at: at * MS, event });
         self
     }
@@ -38,7 +38,7 @@
     ) -> &mut Self {
         let group_number = (op % 32) as u8;
         self.sent.push((op, write, lba, volume, group_number));
-        self.note(
+        self.add_event(
             at,
             TraceEvent::CommandSent {
                 command: op,
@@ -64,7 +64,7 @@
         let write_ids = if write { vec![op; 8] } else { vec![] };
         let task = self.tasks;
         let (node, connection, lun) = (volume, 1, 0);
-        self.note(
+        self.add_event(
             at,
             TraceEvent::NodeReceived {
                 node,
@@ -84,7 +84,7 @@
     }
 
     pub(crate) fn node_answers(&mut self, at: Micros, node: u32, task: u32, code: u8) -> &mut Self {
-        self.note(
+        self.add_event(
             at,
             TraceEvent::NodeAnswered {
                 node,
@@ -100,7 +100,7 @@
         at: Micros,
         op: u64,
         code: u8,
-        shows: Option<u64>,
+        read_id: Option<u64>,
     ) -> &mut Self {
         let write = self
             .sent
@@ -111,9 +111,9 @@
         let read = if write || code != status::GOOD {
             vec![]
         } else {
-            vec![shows; 8]
+            vec![read_id; 8]
         };
-        self.note(
+        self.add_event(
             at,
             TraceEvent::CommandAnswered {
                 command: op,
@@ -131,12 +131,12 @@
         write: bool,
         volume: u32,
         lba: u64,
-        shows: u64,
+        read_id: u64,
     ) -> &mut Self {
         self.send_to(at, op, write, volume, lba);
         let task = self.node_receives(at + 1, op);
         self.node_answers(at + 9, volume, task, status::GOOD)
-            .answer(at + 10, op, status::GOOD, Some(shows))
+            .answer(at + 10, op, status::GOOD, Some(read_id))
     }
 
     pub(crate) fn judge(&self) -> Verdict {
@@ -177,10 +177,10 @@
         &mut self,
         requested_at: Micros,
         granted_at: Micros,
-        shows: [u64; 8],
+        read_id: [u64; 8],
     ) -> &mut Self {
         let mut blocks = vec![Some(0); 64];
-        for (block, id) in blocks.iter_mut().zip(shows) {
+        for (block, id) in blocks.iter_mut().zip(read_id) {
             *block = Some(id);
         }
         let snapshot = TraceEvent::SnapshotRead {
@@ -189,7 +189,7 @@
             requested_at: requested_at * MS,
             blocks,
         };
-        self.note(granted_at, snapshot)
+        self.add_event(granted_at, snapshot)
     }
 
     pub(crate) fn has_snapshot_errors(&self) -> bool {
--- a/crates/audit/tests/rehearsal/seeded_record.rs
+++ b/crates/audit/tests/rehearsal/seeded_record.rs
@@ -45,7 +45,7 @@
 }
 
 impl RecordGenerator {
-    fn note(&mut self, at: u64, event: TraceEvent) {
+    fn add_event(&mut self, at: u64, event: TraceEvent) {
         self.entries.push(TraceEntry { at, event });
     }
 
@@ -61,7 +61,7 @@
         let (lba, blocks) = (rng.random_range(0..3u64) * 8, rng.random_range(1..=8u32));
         let group_number = (id % 31) as u8;
         let (command, client) = (id, 0);
-        self.note(
+        self.add_event(
             at,
             TraceEvent::CommandSent {
                 command,
@@ -134,10 +134,10 @@
             write_ids,
             first_lba,
         };
-        self.note(at, received);
+        self.add_event(at, received);
         let after = at + self.rng.random_range(1_000..200_000u64);
         match self.rng.random_range(0..8) {
-            0 => self.note(
+            0 => self.add_event(
                 after,
                 TraceEvent::NodeAborted {
                     node,
@@ -145,12 +145,12 @@
                     task,
                 },
             ),
-            1 => self.note(after, TraceEvent::ConnectionClosed { node, connection }),
+            1 => self.add_event(after, TraceEvent::ConnectionClosed { node, connection }),
             2 => {}
             n => {
                 let codes = [status::BUSY, status::TASK_SET_FULL, status::CHECK_CONDITION];
                 let status = codes.get(n - 3).copied().unwrap_or(status::GOOD);
-                self.note(
+                self.add_event(
                     after,
                     TraceEvent::NodeAnswered {
                         node,
@@ -174,7 +174,7 @@
             status::CHECK_CONDITION,
         ];
         let status = codes[self.rng.random_range(0..codes.len())];
-        let shown: Vec<Option<u64>> = (0..command.blocks)
+        let read_ids: Vec<Option<u64>> = (0..command.blocks)
             .map(|_| {
                 let id = self.written_id();
                 (self.rng.random_range(0..20) != 0).then_some(id)
@@ -183,13 +183,13 @@
         let read = if command.write || status != status::GOOD {
             vec![]
         } else {
-            shown
+            read_ids
         };
         let command = command.id;
         match self.rng.random_range(0..10) {
-            0 => self.note(end, TraceEvent::CommandAbandoned { command }),
+            0 => self.add_event(end, TraceEvent::CommandAbandoned { command }),
             1 => {}
-            2 => self.note(
+            2 => self.add_event(
                 end + 2_300_000,
                 TraceEvent::CommandAnswered {
                     command,
@@ -197,7 +197,7 @@
                     read,
                 },
             ),
-            _ => self.note(
+            _ => self.add_event(
                 end,
                 TraceEvent::CommandAnswered {
                     command,
@@ -219,7 +219,7 @@
         } = command;
         let node = self.rng.random_range(0..2u32);
         match self.rng.random_range(0..24) {
-            0 => self.note(
+            0 => self.add_event(
                 at,
                 TraceEvent::HostNotified {
                     host,
@@ -227,7 +227,7 @@
                     active: false,
                 },
             ),
-            1 => self.note(
+            1 => self.add_event(
                 at,
                 TraceEvent::HostNotified {
                     host,
@@ -235,12 +235,12 @@
                     active: true,
                 },
             ),
-            2 | 3 => self.note(at, TraceEvent::NodeUp { node }),
-            4 => self.note(at, TraceEvent::NodeDown { node }),
-            5 => self.note(at, TraceEvent::NodeOverloaded { node }),
-            6 => self.note(at, TraceEvent::HostDown { host }),
-            7 => self.note(at, TraceEvent::HostUp { host }),
-            8 => self.note(at, TraceEvent::UnexpectedAnswer { client: 0 }),
+            2 | 3 => self.add_event(at, TraceEvent::NodeUp { node }),
+            4 => self.add_event(at, TraceEvent::NodeDown { node }),
+            5 => self.add_event(at, TraceEvent::NodeOverloaded { node }),
+            6 => self.add_event(at, TraceEvent::HostDown { host }),
+            7 => self.add_event(at, TraceEvent::HostUp { host }),
+            8 => self.add_event(at, TraceEvent::UnexpectedAnswer { client: 0 }),
             9 | 10 => {
                 let mut blocks = vec![Some(0); 64];
                 for block in blocks.iter_mut().take(24) {
@@ -248,7 +248,7 @@
                 }
                 let requested_at = at - self.rng.random_range(0..60_000u64);
                 let name = format!("s{id}");
-                self.note(
+                self.add_event(
                     at,
                     TraceEvent::SnapshotRead {
                         volume,
--- a/crates/scenarios/src/fleet/parse.rs
+++ b/crates/scenarios/src/fleet/parse.rs
@@ -8,7 +8,7 @@
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 use mallowseam_stand_ins::simulated_node::NodeLimits;
 
-/// Reads a script.
+/// Parses the script `text`, which diagnostics call `file`.
 ///
 /// # Errors
 /// Diagnostics for all mistakes in the script.
--- a/crates/scenarios/src/rehearsal.rs
+++ b/crates/scenarios/src/rehearsal.rs
@@ -65,9 +65,9 @@
 /// Node, host or client that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Selector {
-    /// The one with this number.
+    /// The node, host or client with this number.
     Number(u32),
-    /// One drawn from the seed. The same number selects the same one again.
+    /// A node, host or client drawn from the seed. The same number selects the same one again.
     Any(u32),
 }
 
--- a/crates/scenarios/src/rehearsal/faults.rs
+++ b/crates/scenarios/src/rehearsal/faults.rs
@@ -1,4 +1,4 @@
-//! Reads the fault lines of a script: `at TIME KIND … [for DURATION]`.
+//! Parser of the fault lines of a script: `at TIME KIND … [for DURATION]`.
 use super::{Event, Fault, Selector};
 use crate::arguments::DURATION;
 use mallowseam_audit::trace::Micros;
--- a/crates/scenarios/src/rehearsal/parse.rs
+++ b/crates/scenarios/src/rehearsal/parse.rs
@@ -7,7 +7,7 @@
 const DIRECTIVES: &str =
     "day, hosts, nodes, cold, clients, list-lag, kept-list, digests, catalog, tariffs, at or site";
 
-/// Reads a script.
+/// Parses the script `text`, which diagnostics call `file`.
 ///
 /// # Errors
 /// Diagnostics for all mistakes in the script.
--- a/crates/scenarios/tests/membership_audit.rs
+++ b/crates/scenarios/tests/membership_audit.rs
@@ -63,7 +63,7 @@
     let samples: Vec<MembershipSample> = reports
         .map(|(at, host)| sample(at, host, observed(at, host)))
         .collect();
-    let scenario = fleet::parse("story", &format!("{HEAD}{script}")).expect("a valid script");
+    let scenario = fleet::parse("script", &format!("{HEAD}{script}")).expect("a valid script");
     let run = scenario.membership_run();
     check(&run, &record, &samples)
 }
