--- a/crates/scenarios/src/arguments.rs
+++ b/crates/scenarios/src/arguments.rs
@@ -10,7 +10,7 @@
     if args.accept("cores") {
         model.cores = args.integer("1 to 64", 1, 64).unwrap_or(1) as usize;
     } else if args.accept("work") {
-        model.unit_work = args.duration("the work of a unit").unwrap_or(0) as f64;
+        model.unit_work = args.duration("a duration: work of a unit").unwrap_or(0) as f64;
     } else if args.accept("queue") {
         model.queue = args.integer("1 to 4096", 1, 4096).unwrap_or(1) as usize;
     } else {
@@ -21,7 +21,10 @@
 
 /// Reads the arguments of `cold`: the slow start of a node, and the load that overloads it meanwhile.
 pub(crate) fn cold_start(model: &mut ServiceModel, args: &mut Arguments) {
-    model.initial_speed = args.percent("a percentage").unwrap_or(1.0).max(0.01);
+    model.initial_speed = args
+        .percent("a percentage: initial speed")
+        .unwrap_or(1.0)
+        .max(0.01);
     model.warm_up = args.duration(DURATION).unwrap_or(0);
     model.overload_factor = args.number("a multiple from 1 up", 1.0, 1e6).unwrap_or(1.0);
     model.overload_window = args.duration(DURATION).unwrap_or(0);
--- a/crates/scenarios/src/fleet/faults.rs
+++ b/crates/scenarios/src/fleet/faults.rs
@@ -187,7 +187,7 @@
         } else if args.accept("spread") {
             fault.jitter = args.duration(DURATION)?;
         } else if args.accept("bytes") {
-            let rate = args.rate("bytes a second such as 9000/s")?;
+            let rate = args.rate("bytes per second such as 9000/s")?;
             // In a script, 0 stands for no limit.
             fault.bytes_per_second = Some(rate).filter(|rate| *rate > 0.0);
         } else if args.accept("loss") {
