--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,10 +1,10 @@
-//! A multi-process testbed: real host processes, faults on the links between them, and simulated peers. Nodes and
-//! clients are the models of `mallowseam-stand-ins` and `mallowseam-load`; the discovery service is the queue of
-//! `mallowseam-models`.
+//! Multi-process testbed: real host processes with simulated peers, and faults on the links between all of them. Nodes
+//! and clients are the models of `mallowseam-stand-ins` and `mallowseam-load`; the discovery service is the queue model
+//! of `mallowseam-models`.
 //!
 //! - [`peers`]: the sockets of all peers, on one event loop. [`processes`]: the host processes.
-//! - [`testbed`]: plays a scenario of `mallowseam-scenarios`. [`outcome`]: what a run brought, and its report.
-//! - [`soak`]: many short scenarios, each drawn by its seed; `history` tells what is known of a finding.
+//! - [`testbed`]: plays a scenario of `mallowseam-scenarios`. [`outcome`]: the result of a run, and its report.
+//! - [`soak`]: many short scenarios, each drawn by its seed; `history` adds observations and logs to a finding.
 
 pub mod addresses;
 pub mod error;
--- a/crates/testbed/src/fleet/history.rs
+++ b/crates/testbed/src/fleet/history.rs
@@ -1,13 +1,13 @@
-//! What is known of the request or the host that a violation names: what its peers observed, and the host's log.
+//! History of the request or host that a violation names: the observations of its peers, and the host's log.
 use super::outcome::Outcome;
 use mallowseam_audit::fleet::record::{Event, Observation};
 use mallowseam_audit::trace::Micros;
 use std::path::Path;
 
-/// Lines of a host's log that are shown.
+/// Maximum number of lines of a host's log in a history.
 const MAX_LOG_LINES: usize = 20;
 
-/// A violation, followed by the history of the request that it names and the log of the host.
+/// Returns a violation, followed by the history of the request that it names and the last lines of the host's log.
 pub(super) fn with_history(violation: &str, outcome: &Outcome, dir: &Path) -> String {
     let observations = &outcome.observations;
     let mut lines = vec![violation.to_owned()];
@@ -25,18 +25,19 @@
     lines.join("\n    ")
 }
 
-/// The request that a broken rule is about: `broken: RULE: REQUEST …`.
+/// Returns the request that a violated rule names: `broken: RULE: REQUEST …`.
 fn operation_of(violation: &str) -> Option<u64> {
     let (_rule, evidence) = violation.strip_prefix("broken: ")?.split_once(": ")?;
     evidence.split(' ').next()?.parse().ok()
 }
 
-/// The host of `host N ended with …`.
+/// Returns the host of a violation of the form `host N exited with …`.
 fn crashed_host(violation: &str) -> Option<u32> {
     let rest = violation.strip_prefix("host ")?;
     rest.split(' ').next()?.parse().ok()
 }
 
+/// Returns the observations of a request, and those of starts and stops of its host.
 fn history_of(operation: u64, observations: &[Observation]) -> Vec<String> {
     let host = host_of(operation, observations);
     let of_request = |o: &&Observation| event_operation(&o.event) == Some(operation);
@@ -52,7 +53,7 @@
     at as f64 / 1e3
 }
 
-/// The host that a request was sent to.
+/// Returns the host that a request was sent to.
 fn host_of(operation: u64, observations: &[Observation]) -> Option<u32> {
     observations.iter().find_map(|o| match o.event {
         Event::RequestSent { op, host, .. } if op == operation => Some(host),
@@ -60,7 +61,7 @@
     })
 }
 
-/// The request that an event is about.
+/// Returns the request that an event concerns.
 fn event_operation(event: &Event) -> Option<u64> {
     match *event {
         Event::RequestSent { op, .. }
@@ -77,7 +78,7 @@
     }
 }
 
-/// The host whose process an event is about.
+/// Returns the host whose process an event concerns.
 fn event_host(event: &Event) -> Option<u32> {
     match *event {
         Event::HostStarted { host }
@@ -87,7 +88,7 @@
     }
 }
 
-/// The last lines of a host's log.
+/// Returns the last lines of a host's log, without its periodic status lines.
 fn log_of(host: u32, dir: &Path) -> Vec<String> {
     let log = std::fs::read_to_string(dir.join(format!("h{host}.log"))).unwrap_or_default();
     let is_status = |line: &&str| line.contains("node status") || line.contains("host status");
--- a/crates/testbed/src/fleet/host_config.rs
+++ b/crates/testbed/src/fleet/host_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that a host of a run is started with, in the gateway's form.
+//! Configuration of a host process, in the gateway's JSON format.
 use super::addresses::Addresses;
 use mallowseam_audit::fleet::terms::{
     DRAIN_GRACE_MS, POLL_DEADLINE_MS, READ_OBJECTIVE_MS, RETRY_BUDGET, VOLUME_LIMIT,
@@ -7,36 +7,36 @@
 use mallowseam_scenarios::fleet::{MembershipScenario, Scenario};
 use serde_json::{Value, json};
 
-/// Pause between two writes of one key, in milliseconds.
+/// Pause between two writes with the same ordering key, in milliseconds.
 const ORDER_PAUSE_MS: u64 = 200;
 
-/// What tells the configuration of one host from that of another.
+/// Values that determine the configuration of one host.
 pub struct HostConfig<'a> {
-    /// The run.
+    /// Scenario of the run.
     pub scenario: &'a Scenario,
     /// Addresses of the run.
     pub addresses: Addresses,
-    /// The host's index.
+    /// Index of the host.
     pub host: u32,
-    /// Number in the host's name: its index, except in runs with two hosts of one name.
+    /// Number in the host's name: the host's index, except in runs with two hosts of the same name.
     pub name_number: u32,
-    /// The discovery service that it polls.
-    pub list: u32,
-    /// Seed of its random numbers.
+    /// Index of the discovery service that the host polls.
+    pub discovery_service: u32,
+    /// Seed of the host's random numbers.
     pub seed: u64,
-    /// The endpoint list that it starts with, as JSON.
+    /// Endpoint list that the host starts with, as JSON.
     pub initial_list: &'a str,
 }
 
 impl HostConfig<'_> {
-    /// The configuration as JSON text.
+    /// Returns the configuration as JSON text.
     pub fn to_json(&self) -> String {
         let HostConfig {
             scenario,
             addresses,
             host,
             name_number,
-            list,
+            discovery_service,
             seed,
             initial_list,
         } = self;
@@ -51,7 +51,7 @@
              \"limits\":{{\"cores\":1.0,\"memory_mb\":{},\"sockets\":{}}},\"known\":{initial_list},\
              \"settings\":{}{membership}}}",
             addresses.host(*host),
-            addresses.list(*host, *list),
+            addresses.discovery_service(*host, *discovery_service),
             scenario.memory_mb,
             scenario.max_descriptors,
             settings(scenario)
@@ -73,7 +73,7 @@
     }
 }
 
-/// The settings that all hosts of a run share.
+/// Returns the settings that all hosts of a run share.
 fn settings(scenario: &Scenario) -> Value {
     let node = &scenario.node_model;
     let load = &scenario.load;
--- a/crates/testbed/src/fleet/outcome.rs
+++ b/crates/testbed/src/fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run brought, and its report.
+//! Result of a run, and its report.
 use super::processes::ResourceUsage;
 use mallowseam_audit::fleet::Verdict;
 use mallowseam_audit::fleet::record::{Event, Observation};
@@ -8,29 +8,29 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What a run brought.
+/// Result of a run.
 pub struct Outcome {
-    /// The audit's result.
+    /// Result of the audit.
     pub verdict: Verdict,
-    /// All observations.
+    /// All observations of the peers.
     pub observations: Vec<Observation>,
-    /// Host processes that ended without SIGTERM, or did not end after it.
+    /// Descriptions of host processes that exited without SIGTERM, exited with an error, or did not exit after SIGTERM.
     pub crashed: Vec<String>,
-    /// What each host used at the end of the run.
+    /// Resource usage of each host at the end of the run.
     pub usage: Vec<ResourceUsage>,
-    /// The longest delay of the event loop, in microseconds.
+    /// Longest delay of the event loop, in microseconds.
     pub max_lag: Micros,
-    /// Watches of the discovery service that were open at the end.
+    /// Number of watches of the discovery service that were open at the end of the run.
     pub open_watches: usize,
-    /// The hosts' membership tables, query by query.
+    /// Hosts' membership tables, one sample for each query.
     pub membership_samples: Vec<MembershipSample>,
-    /// Bytes that each host sent to other hosts, a second.
+    /// Mean rate of membership traffic that a host sent to other hosts, in bytes per second.
     pub membership_bytes_per_second: f64,
-    /// The highest load on a cold node, as a fraction of what it sustained.
+    /// Highest load on a cold node, as a fraction of the load that the node could sustain.
     pub peak_cold_load: f64,
 }
 
-/// Latencies and processor time of a group of hosts.
+/// Latencies and CPU time of a group of hosts.
 #[derive(Default)]
 struct GroupFigures {
     latencies: Vec<Micros>,
@@ -63,37 +63,37 @@
         self.verdict.list_delays.len() as u64
     }
 
-    /// Violated rules, and processes that did not end as they should.
+    /// Returns violated rules, and processes that did not exit as they should.
     pub fn violations(&self) -> Vec<String> {
         let mut lines = self.verdict.evidence();
         lines.extend(self.crashed.iter().cloned());
         lines
     }
 
-    /// All that was not as it should be; empty if the run is good.
+    /// Returns all violations and exceeded bounds of the run; empty if the run passed.
     pub fn evidence(&self, scenario: &Scenario) -> Vec<String> {
         let verdict = &self.verdict;
         let mut lines = self.violations();
         let without_list = verdict.host_starts.saturating_sub(self.hosts_with_list());
         if without_list > 0 {
             lines.push(format!(
-                "{without_list} starts without a list of the service"
+                "{without_list} host starts without an endpoint list from the discovery service"
             ));
         }
         let allowed = scenario.max_queued_polls();
         if verdict.max_queued > allowed {
             lines.push(format!(
-                "{} calls waited, of {allowed} at most",
+                "{} polls queued at the discovery service, expected {allowed} at most",
                 verdict.max_queued
             ));
         }
         if verdict.collapses > 0 {
-            lines.push(format!("{} nodes fell", verdict.collapses));
+            lines.push(format!("{} node collapses", verdict.collapses));
         }
         lines
     }
 
-    /// The last line of the report.
+    /// Returns the last line of the report.
     pub fn summary(&self, scenario: &Scenario) -> String {
         let verdict = &self.verdict;
         let starts = verdict.host_starts;
@@ -106,8 +106,8 @@
         )
     }
 
-    /// Hosts that take part in the membership protocol beside those that don't, if the run has both: latency of what
-    /// they served, and processor time.
+    /// Compares the latency of served requests and the CPU time of hosts that take part in the membership protocol with
+    /// those of hosts that do not. Returns `None` unless the run has both kinds of hosts.
     pub fn compare_membership_groups(&self, scenario: &Scenario) -> Option<String> {
         let participants = scenario.membership?.participants;
         if participants.start == 0 && participants.end >= scenario.hosts {
@@ -151,10 +151,10 @@
         ))
     }
 
-    /// The run second by second, and its totals.
+    /// Returns a table of the run second by second, followed by its totals.
     pub fn table(&self) -> String {
         let mut out = String::new();
-        // Writing to a string never fails.
+        // Writing to a string does not fail.
         let _ = self.write_table(&mut out);
         out
     }
@@ -179,7 +179,7 @@
         writeln!(out, "nine tenths of usual service: {steady}")?;
         let count = self.usage.len().max(1) as f64;
         let mean =
-            |figure: fn(&ResourceUsage) -> f64| self.usage.iter().map(figure).sum::<f64>() / count;
+            |metric: fn(&ResourceUsage) -> f64| self.usage.iter().map(metric).sum::<f64>() / count;
         writeln!(
             out,
             "a host at the end: {:.1} MB, {:.0} ms of processor time, {:.0} descriptors; most to a cold node: {:.0} \
--- a/crates/testbed/src/fleet/peers.rs
+++ b/crates/testbed/src/fleet/peers.rs
@@ -1,5 +1,5 @@
-//! The peers of the hosts, simulated on one event loop: discovery services, nodes and clients. Every connection and
-//! datagram passes a link with faults of its own. The owner drives the loop one iteration at a time.
+//! Simulated peers of the hosts on one event loop: discovery services, nodes and clients. Every connection and datagram
+//! passes through a link, which may have faults. The owner runs the loop one iteration at a time.
 mod clients;
 mod connections;
 mod discovery;
@@ -40,20 +40,23 @@
 pub(crate) use endpoint_list::{ListedNode, NodeStatus};
 pub use membership::MembershipView;
 
+/// Limits of HTTP messages between hosts and peers, in bytes.
 const HTTP_LIMITS: Limits = Limits {
     head: 16 * 1024,
     body: 1 << 20,
 };
+/// Size of the buffer for reads from sockets, in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// List services of a run: hosts start with the first and may be redirected to the second.
-const LIST_SERVICES: u32 = 2;
-/// Listens while a run lasts, which keeps other runs on this machine from its addresses.
+/// Number of discovery services of a run. Hosts start with the first one and may be redirected to the second.
+const DISCOVERY_SERVICES: u32 = 2;
+/// Port that is bound during a run, so that other runs on this machine do not use the same addresses.
 const PORT_CLAIM: u16 = 1899;
-/// Networks that a run tries, and the first of them.
+/// Number of networks that a run tries before it gives up.
 const NETWORKS: u32 = 200;
+/// Second address byte of the first network.
 const FIRST_NETWORK: u32 = 20;
 
-/// All peers of the hosts of a run, and what was observed at them.
+/// All peers of the hosts of a run, and the observations made at them.
 pub struct SimulatedPeers {
     poll: Poll,
     scenario: Scenario,
@@ -69,7 +72,7 @@
     links: Links,
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     /// The discovery services.
-    pub(super) discovery: [DiscoveryQueue<ConnectionId>; LIST_SERVICES as usize],
+    pub(super) discovery: [DiscoveryQueue<ConnectionId>; DISCOVERY_SERVICES as usize],
     endpoints: EndpointList,
     undelivered: Vec<Undelivered>,
     /// The nodes.
@@ -79,18 +82,18 @@
     clients_active: bool,
     pending_retries: Slab<Operation>,
     host_states: Vec<HostState>,
-    /// Of each host that was sent SIGTERM: until when clients open connections to it.
+    /// Time until which clients open new connections to a host that was sent SIGTERM, by host.
     new_connections_until: Vec<Option<Micros>>,
     paused: Vec<bool>,
     /// Idle connections of clients, by host.
     idle_connections: BTreeMap<u32, Vec<u32>>,
-    /// The host of each request in flight, by operation.
+    /// Host of each request in flight, by operation id.
     request_hosts: BTreeMap<u64, u32>,
-    /// Datagrams between hosts, and their membership tables.
+    /// Links for datagrams between hosts, and the hosts' membership tables.
     pub membership: MembershipLinks,
-    /// The number in each host's name: its index, except in tests with two hosts of one name.
+    /// Number in each host's name: the host's index, except in tests with two hosts of the same name.
     pub name_numbers: Vec<u32>,
-    /// What was observed so far.
+    /// Observations so far.
     pub observations: Vec<Observation>,
     rng: Pcg64Mcg,
     read_buffer: Vec<u8>,
@@ -100,7 +103,7 @@
     /// Opens the sockets of all peers.
     ///
     /// # Errors
-    /// A socket can't be opened, or all loopback addresses are in use.
+    /// A socket cannot be opened, or all loopback addresses are in use.
     pub(crate) fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let poll = Poll::new().map_err(TestbedError::Poll)?;
@@ -150,8 +153,12 @@
 
     fn open_sockets(&mut self) -> Result<(), TestbedError> {
         for host in 0..self.scenario.hosts {
-            for list in 0..LIST_SERVICES {
-                self.add_listener(host, Peer::List(list), self.addresses.list(host, list))?;
+            for list in 0..DISCOVERY_SERVICES {
+                self.add_listener(
+                    host,
+                    Peer::List(list),
+                    self.addresses.discovery_service(host, list),
+                )?;
             }
         }
         for shard in 0..self.scenario.nodes {
@@ -164,7 +171,7 @@
         Ok(())
     }
 
-    /// Microseconds since the start of the run.
+    /// Returns the time since the start of the run, in microseconds.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -174,7 +181,8 @@
         self.observations.push(Observation { at, event });
     }
 
-    /// Sets the fault of all links from one set of peers to another.
+    /// Sets the fault of all links from one set of peers to another. The requests in flight at hosts whose links with
+    /// clients are faulty are excused.
     pub fn set_link(&mut self, from: PeerSet, to: PeerSet, fault: LinkFault) {
         self.links.set(from, to, fault);
         self.update_listeners();
@@ -188,7 +196,7 @@
         }
     }
 
-    /// Whether the link between clients and a host has a fault, or the host is paused.
+    /// Returns whether a link between clients and the host has a fault, or the host is paused.
     fn is_impaired(&self, host: u32) -> bool {
         let fault = |from, to| self.links.fault_between(from, to) != LinkFault::default();
         let host_peer = Peer::Host(host);
@@ -197,13 +205,13 @@
             || fault(host_peer, Peer::Clients)
     }
 
-    /// Changes how a discovery service behaves.
-    pub(crate) fn set_discovery_behavior(&mut self, list: usize, behavior: ServiceBehavior) {
+    /// Changes the behaviour of a discovery service.
+    pub(crate) fn set_discovery_behavior(&mut self, service: usize, behavior: ServiceBehavior) {
         let now = self.now();
-        self.discovery[list].set_behavior(now, behavior);
+        self.discovery[service].set_behavior(now, behavior);
         if behavior == ServiceBehavior::Down {
             self.reset_connections(
-                |role| matches!(role, ConnectionRole::Poll { list: l, .. } if *l as usize == list),
+                |role| matches!(role, ConnectionRole::Poll { list: l, .. } if *l as usize == service),
             );
         }
         self.update_listeners();
@@ -211,7 +219,8 @@
     }
 }
 
-/// Loopback addresses that no other run on this machine uses, and the listener that claims them.
+/// Claims loopback addresses that no other run on this machine uses. Returns them with the listener that holds the
+/// claim.
 fn claim_addresses() -> Result<(Addresses, TcpListener), TestbedError> {
     let first = (std::process::id() * 7) % NETWORKS;
     for n in 0..NETWORKS {
--- a/crates/testbed/src/fleet/peers/clients.rs
+++ b/crates/testbed/src/fleet/peers/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: which requests they send to which host, and what they do with responses.
+//! Simulated clients: choice of hosts, requests, responses and retries.
 use super::{ConnectionRole, Event, HTTP_LIMITS, SimulatedPeers, Timer};
 use mallowseam_audit::SLACK;
 use mallowseam_audit::trace::Micros;
@@ -6,25 +6,25 @@
 use mallowseam_load::client_load::Operation;
 use std::cmp::Reverse;
 
-/// Idle connections that clients keep to one host.
+/// Maximum number of idle connections that clients keep to one host.
 const MAX_IDLE_PER_HOST: usize = 32;
 
 impl SimulatedPeers {
-    /// Clients send requests from now on, or send no more.
+    /// Lets clients send requests, or stops them from sending any.
     pub fn set_clients_active(&mut self, active: bool) {
         self.clients_active = active;
         let now = self.now();
         self.client_load.resume(now);
     }
 
-    /// Requests of clients without a response yet.
+    /// Returns the number of requests without a response.
     pub(crate) fn in_flight(&self) -> usize {
         self.request_hosts.len()
     }
 
-    /// Sends a request on an idle connection, or on a new one.
+    /// Sends a request on an idle connection, or on a new one if there is none.
     pub(super) fn send_request(&mut self, operation: Operation) {
-        let Some(host) = self.choose_host(&operation, Self::takes_requests) else {
+        let Some(host) = self.choose_host(&operation, Self::accepts_requests) else {
             return self.on_no_host(&operation);
         };
         let idle = self.idle_connections.get_mut(&host).and_then(Vec::pop);
@@ -79,13 +79,13 @@
         if self.is_impaired(host) {
             self.record(Event::Excused { op: id });
         }
-        // On the same machine, a client may read a response late.
+        // Clients run on the same machine as the hosts, and may read a response late.
         self.set_timeout(index, timeout + SLACK);
         let text = self.request_text(&operation);
         self.send(index, text.as_bytes());
     }
 
-    /// One of the hosts of an operation's volume that are suitable.
+    /// Chooses a suitable host of an operation's volume, or returns `None` if none is suitable.
     fn choose_host(
         &mut self,
         operation: &Operation,
@@ -98,16 +98,16 @@
             .choose_host(operation, |host| suitable[host as usize], &mut self.rng)
     }
 
-    /// The connection of a request has ended without a response. A request that crossed the close of an idle connection
-    /// and was left unread by the host (`is_untaken`) is sent once more, on a new connection.
-    pub(super) fn on_connection_lost(&mut self, operation: Operation, is_untaken: bool) {
+    /// Handles the end of a connection with a request in flight. A request that was sent while the host closed an idle
+    /// connection, and that the host left unread (`is_unread`), is sent once more on a new connection.
+    pub(super) fn on_connection_lost(&mut self, operation: Operation, is_unread: bool) {
         self.request_hosts.remove(&operation.id);
-        if !is_untaken {
+        if !is_unread {
             self.record(Event::ConnectionLost { op: operation.id });
             return self.schedule_retry(&operation, None);
         }
         self.record(Event::RequestNotTaken { op: operation.id });
-        match self.choose_host(&operation, Self::takes_connections) {
+        match self.choose_host(&operation, Self::accepts_connections) {
             Some(host) => self.send_on_new_connection(host, operation),
             None => self.on_no_host(&operation),
         }
@@ -143,18 +143,19 @@
         )
     }
 
+    /// Schedules a retry of an operation, if the client model allows one and clients are active.
     pub(super) fn schedule_retry(&mut self, operation: &Operation, retry_after: Option<Micros>) {
         let now = self.now();
         let retry = self
             .client_load
             .retry(now, operation, retry_after, &mut self.rng);
         if let Some((at, operation)) = retry.filter(|_| self.clients_active) {
-            let place = self.pending_retries.insert(operation);
-            self.timers.push(Reverse((at, Timer::Retry(place))));
+            let index = self.pending_retries.insert(operation);
+            self.timers.push(Reverse((at, Timer::Retry(index))));
         }
     }
 
-    /// A whole response of a host has arrived. `body`: where its body begins.
+    /// Handles a complete response of a host. `body` is the offset of the response's body.
     pub(super) fn on_response(&mut self, index: u32, response: &[u8], body: usize) {
         let Ok(Some(head)) = ResponseHead::parse(response, HTTP_LIMITS) else {
             return self.close(index, true);
@@ -196,6 +197,7 @@
         }
     }
 
+    /// Closes a connection whose timeout has expired. Does nothing if a later timeout has replaced this one.
     pub(super) fn on_timeout(&mut self, index: u32, timeout_id: u64) {
         let Some(connection) = self
             .connections
@@ -214,7 +216,7 @@
     }
 }
 
-/// The time that a host names for a retry.
+/// Returns the delay of the `Retry-After` header of a response, in microseconds.
 fn retry_after(head: &ResponseHead) -> Option<Micros> {
     let seconds: f64 = head.headers.single("Retry-After").ok()??.parse().ok()?;
     Some((seconds * 1e6) as Micros)
--- a/crates/testbed/src/fleet/peers/connections.rs
+++ b/crates/testbed/src/fleet/peers/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between hosts and peers: bytes pass the link's faults in each direction.
+//! Connections between hosts and peers. Bytes are subject to the link's faults in each direction.
 use super::{Event, HTTP_LIMITS, SimulatedPeers, Timer};
 use mallowseam_audit::trace::Micros;
 use mallowseam_http1::{RequestReader, ResponseReader};
@@ -12,66 +12,68 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-/// A connection: its place in the table, and a number that tells it from later ones in the same place.
+/// Identifier of a connection: its index in the table, and a serial number that distinguishes it from later connections
+/// with the same index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId {
     pub(super) index: u32,
     pub(super) serial: u64,
 }
 
-/// What a connection is for.
+/// Purpose of a connection.
 pub(super) enum ConnectionRole {
     /// From a host to a discovery service.
     Poll {
         list: u32,
         reader: RequestReader,
         is_watch: bool,
-        /// Since when the watch sends nothing any more.
+        /// Time from which on the watch sends nothing, if it is stalled.
         stalled_since: Option<Micros>,
     },
     /// From a host to a node.
     Node {
         node: u32,
         reader: RequestReader,
-        /// The operation that has no response yet.
+        /// Operation without a response.
         pending: Option<u64>,
-        /// No request has arrived yet.
+        /// Whether no request has arrived on the connection.
         is_new: bool,
-        /// It was above the node's limit when it was opened.
+        /// Whether the connection exceeded the node's connection limit when it was opened.
         over_limit: bool,
     },
     /// From clients to a host.
     Client {
         reader: ResponseReader,
         request: Option<Operation>,
-        /// It has carried a request before.
+        /// Whether the connection has carried a request and its response.
         is_reused: bool,
     },
     /// A readiness check of a host.
     Readiness { reader: ResponseReader },
 }
 
+/// Connection between a host and a peer.
 pub(super) struct Connection {
     pub host: u32,
     pub socket: TcpStream,
     pub role: ConnectionRole,
     pub serial: u64,
-    /// Identifies the timeout that is in force, if there is one.
+    /// Identifier of the current timeout, if there is one.
     pub timeout_id: Option<u64>,
     pub to_peer: Pipe,
     pub to_host: Pipe,
-    /// Bytes that the peer has received and not processed.
+    /// Bytes that the peer has received but not processed.
     pub received: Vec<u8>,
-    /// Bytes that the socket has not taken yet.
+    /// Bytes that have not been written to the socket.
     unsent: Vec<u8>,
-    /// Reading was stopped because the pipe to the peer was full.
+    /// Whether reading has paused because the pipe to the peer is full.
     read_paused: bool,
-    /// It has ended, and the host has not read what was sent last.
+    /// Whether the connection has ended without the host having read the last bytes sent to it.
     is_left_unread: bool,
 }
 
 impl Connection {
-    /// Its identity at this place in the table.
+    /// Returns the connection's identifier, given its index in the table.
     pub(super) fn id(&self, index: u32) -> ConnectionId {
         ConnectionId {
             index,
@@ -80,20 +82,23 @@
     }
 }
 
-/// Whether a connection went on when its pipes were pumped.
+/// Result of delivering the bytes that are due on a connection.
 enum Pumped {
+    /// Bytes were delivered.
     Moved,
+    /// No bytes were due.
     Idle,
+    /// The connection was closed.
     Closed,
 }
 
 impl SimulatedPeers {
-    /// Opens a connection to a host, if the link lets it be established.
+    /// Opens a connection to a host. Returns its index, or `None` if the link or the host does not accept it.
     pub(super) fn connect(&mut self, host: u32, role: ConnectionRole) -> Option<u32> {
         if self.links.connect_outcome(Peer::Clients, Peer::Host(host)) != ConnectOutcome::Accepted {
             return None;
         }
-        // On loopback the kernel answers at once; a socket that is closed shows in the event loop.
+        // On loopback the kernel answers at once. A later close of the socket is reported by the event loop.
         let socket = std::net::TcpStream::connect(self.addresses.host(host)).ok()?;
         socket.set_nonblocking(true).ok()?;
         let _ = socket.set_nodelay(true);
@@ -128,14 +133,14 @@
         })
     }
 
-    /// The connection of this identifier, unless it was closed.
+    /// Returns the connection with an identifier, or `None` if it was closed.
     pub(super) fn connection(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections
             .get_mut(id.index)
             .filter(|c| c.serial == id.serial)
     }
 
-    /// Sets the timeout of a connection, which replaces an earlier one.
+    /// Sets the timeout of a connection, and replaces an earlier one.
     pub(super) fn set_timeout(&mut self, index: u32, after: Micros) {
         self.last_serial += 1;
         let timeout_id = self.last_serial;
@@ -148,7 +153,7 @@
         }
     }
 
-    /// Faults of both directions: to the peer, and to the host.
+    /// Returns the link's faults in both directions: to the peer, and to the host.
     fn link_faults(&self, connection: &Connection) -> (LinkFault, LinkFault) {
         let host = Peer::Host(connection.host);
         let peer = match connection.role {
@@ -162,7 +167,7 @@
         )
     }
 
-    /// A peer sends bytes to a host.
+    /// Sends bytes from a peer to a host.
     pub(super) fn send(&mut self, index: u32, bytes: &[u8]) {
         let Some(connection) = self.connections.get(index) else {
             return;
@@ -175,7 +180,7 @@
         self.pump(index);
     }
 
-    /// Lets all connections go on at the next iteration, after a change of faults.
+    /// Schedules the delivery of due bytes on all connections in the next iteration, after a change of faults.
     pub(super) fn pump_all(&mut self) {
         let now = self.now();
         for index in self.connections.indices() {
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Delivers what is due in both directions of a connection.
+    /// Delivers the bytes that are due in both directions of a connection.
     pub(super) fn pump(&mut self, index: u32) {
         loop {
             let now = self.now();
@@ -226,7 +231,7 @@
             PipeOutput::Closed => return self.close_pumped(index, false),
             PipeOutput::Nothing => {}
         }
-        // What the peer did in response may have closed the connection.
+        // The peer's handling of the bytes may have closed the connection.
         if self.connection(ConnectionId { index, serial }).is_none() {
             return Pumped::Closed;
         }
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Reads what a host has sent.
+    /// Reads the bytes that a host has sent, unless the pipe to the peer is full.
     pub(super) fn read_socket(&mut self, index: u32) {
         loop {
             let Some(connection) = self.connections.get(index) else {
@@ -294,7 +299,7 @@
         }
     }
 
-    /// A peer has received bytes: handles the message that they complete.
+    /// Handles the message that is complete with the bytes that a peer has received, if there is one.
     fn on_received(&mut self, index: u32) {
         let Some(connection) = self.connections.get_mut(index) else {
             return;
@@ -325,7 +330,7 @@
         }
     }
 
-    /// Resets all connections of a role.
+    /// Resets all connections with a matching role.
     pub(super) fn reset_connections(&mut self, matches: impl Fn(&ConnectionRole) -> bool) {
         let matching = self.connections.iter().filter(|(_, c)| matches(&c.role));
         let indexes: Vec<u32> = matching.map(|(index, _)| index).collect();
@@ -334,7 +339,7 @@
         }
     }
 
-    /// Closes a connection, whoever ended it.
+    /// Closes a connection on behalf of either side, and cleans up after its role.
     pub(super) fn close(&mut self, index: u32, reset: bool) {
         let Some(mut connection) = self.connections.remove(index) else {
             return;
@@ -364,8 +369,8 @@
                     idle.retain(|i| *i != index);
                 }
                 if let Some(operation) = request {
-                    let is_untaken = is_reused && connection.is_left_unread;
-                    self.on_connection_lost(operation, is_untaken);
+                    let is_unread = is_reused && connection.is_left_unread;
+                    self.on_connection_lost(operation, is_unread);
                 }
             }
             ConnectionRole::Readiness { .. } => self.schedule_readiness_check(connection.host),
@@ -373,11 +378,11 @@
     }
 }
 
-/// Whether the host's system discarded the last bytes that were sent on a connection which has ended: the host closed it
-/// before they arrived, or left them unread at its close. Either way its system answered with a reset.
+/// Returns whether the host's system discarded the last bytes that were sent on an ended connection: the host closed the
+/// connection before the bytes arrived, or left them unread when it closed. In both cases its system sent a reset.
 fn is_left_unread(socket: &TcpStream, error: &ConnectionError) -> bool {
     match error {
-        // A reset that arrives behind the end of the stream is pending as a broken pipe.
+        // A reset that arrives after the end of the stream is reported as a pending `BrokenPipe` error.
         ConnectionError::ClosedByPeer => matches!(
             socket.take_error(),
             Ok(Some(pending)) if pending.kind() == ErrorKind::BrokenPipe
--- a/crates/testbed/src/fleet/peers/discovery.rs
+++ b/crates/testbed/src/fleet/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery services: polls in turn, watches, and what counts as delivered to a host.
+//! Simulated discovery services: the queue of polls, watches, and the record of updates that count as received.
 use super::connections::{Connection, ConnectionId};
 use super::{ConnectionRole, Event, HTTP_LIMITS, ListedNode, SimulatedPeers, Timer};
 use mallowseam_audit::fleet::record::Observation;
@@ -9,13 +9,13 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Interval at which idle watches get an empty line.
+/// Interval at which an empty line is sent on every watch, in microseconds.
 const WATCH_KEEP_ALIVE: Micros = 2_000_000;
-/// An update that a host misses counts as received so long after its watch stalled, or after the service had it and
-/// could be reached.
+/// Time after which an update that was not sent to a host counts as received, in microseconds. It starts when the host's
+/// watch stalled or, without a watch, when the service had the update and could be reached.
 pub const NOTIFICATION_DEADLINE: Micros = 6_000_000;
 
-/// An update that the service had while a host could not reach it.
+/// Update that the service had while a host could not reach the service.
 pub(super) struct Undelivered {
     pub host: u32,
     node: u32,
@@ -37,7 +37,7 @@
             .push(Reverse((now + WATCH_KEEP_ALIVE, Timer::WatchKeepAlive)));
     }
 
-    /// A whole poll of a host has arrived.
+    /// Handles a complete poll request of a host.
     pub(super) fn on_poll(&mut self, index: u32, request: &[u8]) {
         let Ok(Some(head)) = RequestHead::parse(request, HTTP_LIMITS) else {
             return self.close(index, true);
@@ -52,7 +52,7 @@
             return;
         };
         *is_watch = head.target.contains("follow=1");
-        // Kept until the poll is served.
+        // Keeps the request target until the poll is served.
         connection.received = head.target.as_bytes().to_vec();
         let queue = &mut self.discovery[*list as usize];
         let outcome = queue.enqueue(now, id, &mut self.rng);
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Responds to a poll that the service has processed.
     pub(super) fn finish_poll(&mut self, id: ConnectionId, outcome: PollOutcome) {
         let Some(connection) = self.connection(id) else {
             return;
@@ -96,7 +97,7 @@
         self.send_list(id.index, is_watch, &line);
     }
 
-    /// Sends a line of the list as a whole response, or as the first chunk of a watch.
+    /// Sends a line of the endpoint list as a complete response, or as the first chunk of a watch.
     fn send_list(&mut self, index: u32, is_watch: bool, line: &str) {
         if is_watch {
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A line of the list for one host, recorded as sent.
+    /// Returns a line of the endpoint list for one host, and records its nodes as sent.
     fn list_line(&mut self, host: u32, full: bool, nodes: &[u32]) -> String {
         let version = self.endpoints.version;
         for node in nodes {
@@ -122,7 +123,7 @@
     }
 
     fn record_endpoint_sent(&mut self, host: u32, node: u32, entry: ListedNode, version: u64) {
-        let accepting = entry.accepting();
+        let accepting = entry.is_accepting();
         let started_at = entry.started_at;
         self.record(Event::EndpointSent {
             host,
@@ -133,14 +134,14 @@
         });
     }
 
-    /// Applies the updates that are due and sends them to all watches.
+    /// Applies the updates that are due, and sends them on all active watches.
     pub(super) fn publish_updates(&mut self) {
         let now = self.now();
         while let Some((node, entry)) = self.endpoints.apply_next(now) {
             let mut notified = Vec::new();
             for index in self.active_watches() {
                 let host = self.connections.get(index).map_or(0, |c| c.host);
-                // What a blackholed link holds back does not count as sent.
+                // Bytes that a blackholed link holds back do not count as sent.
                 let line = if self
                     .links
                     .fault_between(Peer::List(0), Peer::Host(host))
@@ -157,7 +158,8 @@
         }
     }
 
-    /// An update that was not sent to a host counts as received some time later. `notified`: the watches that got it.
+    /// Records an update for each host that it was not sent to: as received [`NOTIFICATION_DEADLINE`] after a stalled
+    /// watch's stall, else as undelivered. `notified` has the connections of the watches that it was sent on.
     fn record_undelivered(&mut self, notified: &[u32], node: u32, entry: ListedNode) {
         let now = self.now();
         let version = self.endpoints.version;
@@ -172,13 +174,13 @@
                 ConnectionRole::Poll { stalled_since, .. } if c.host == host => stalled_since,
                 _ => None,
             };
-            // A host with a stalled watch assumes that it receives all. One without a watch must have what the service
-            // had some time after the service could be reached, whatever failed before.
+            // A host with a stalled watch assumes that it receives all updates. A host without a watch must have the
+            // service's updates some time after the service can be reached, whichever polls failed before.
             let stalled_since = self.connections.iter().find_map(|(_, c)| stall_of(c));
             match stalled_since {
                 Some(since) => {
                     let effective_at = now.max(since + NOTIFICATION_DEADLINE);
-                    let accepting = entry.accepting();
+                    let accepting = entry.is_accepting();
                     self.record(Event::EndpointUndeliverable {
                         host,
                         node,
@@ -198,20 +200,21 @@
         self.settle_undelivered();
     }
 
-    /// Whether a host's poll would reach the service, be served and be answered.
+    /// Returns whether a host's poll would reach the first discovery service and receive a response.
     fn can_reach_discovery(&self, host: u32) -> bool {
         let host = Peer::Host(host);
         let list = Peer::List(0);
-        let is_whole = |from, to| {
+        let is_intact = |from, to| {
             let fault = self.links.fault_between(from, to);
             !fault.blocks() && fault.reset_after_bytes.is_none()
         };
         self.discovery[0].behavior() == ServiceBehavior::Normal
-            && is_whole(host, list)
-            && is_whole(list, host)
+            && is_intact(host, list)
+            && is_intact(list, host)
     }
 
-    /// Hosts that can reach the service again get what their watches held back, or count as notified some time later.
+    /// Records the undelivered updates of hosts that can reach the service again: as sent to hosts with an active watch,
+    /// else as received [`NOTIFICATION_DEADLINE`] from now.
     pub(super) fn settle_undelivered(&mut self) {
         let effective_at = self.now() + NOTIFICATION_DEADLINE;
         let host_of = |index: u32| self.connections.get(index).map(|c| c.host);
@@ -232,7 +235,7 @@
             } else if watching.contains(&host) {
                 self.record_endpoint_sent(host, node, entry, version);
             } else {
-                let accepting = entry.accepting();
+                let accepting = entry.is_accepting();
                 self.record(Event::EndpointUndeliverable {
                     host,
                     node,
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Open watches of these hosts stay open and send nothing any more; new ones work.
+    /// Stalls the open watches of hosts: they stay open but send nothing more. New watches work.
     pub(crate) fn stall_watches(&mut self, hosts: std::ops::Range<u32>) {
         let now = self.now();
         for index in self.active_watches() {
@@ -259,7 +262,8 @@
         }
     }
 
-    /// Watches that send updates. One whose poll still waits will get all of them when it is served.
+    /// Returns the connections of watches that send updates. A watch whose poll is still queued is not among them: it gets
+    /// all updates when it is served.
     fn active_watches(&self) -> Vec<u32> {
         let is_active = |c: &Connection| {
             matches!(
@@ -278,12 +282,12 @@
             .collect()
     }
 
-    /// Number of watches that send updates.
+    /// Returns the number of watches that send updates.
     pub fn watch_count(&self) -> usize {
         self.active_watches().len()
     }
 
-    /// The last version that was sent to a host; 0: none.
+    /// Returns the last version that was sent to a host, or 0 if none was sent.
     pub fn last_version_sent(&self, host: u32) -> u64 {
         let sent = |o: &Observation| match o.event {
             Event::EndpointSent {
@@ -294,7 +298,7 @@
         self.observations.iter().rev().find_map(sent).unwrap_or(0)
     }
 
-    /// Node and host of each attempt that was executed, from this place in the observations on.
+    /// Returns the node and host of each attempt that was received and executed after the first `mark` observations.
     pub fn executed_since(&self, mark: usize) -> impl Iterator<Item = (u32, u32)> {
         let observations = &self.observations[mark.min(self.observations.len())..];
         let mut hosts: BTreeMap<(u32, u64), u32> = BTreeMap::new();
@@ -312,7 +316,7 @@
         })
     }
 
-    /// Whether bytes of the discovery service to a host are in flight.
+    /// Returns whether bytes from a discovery service to a host are in flight.
     pub fn has_discovery_bytes_in_flight(&self, host: u32) -> bool {
         let is_poll =
             |c: &Connection| c.host == host && matches!(c.role, ConnectionRole::Poll { .. });
@@ -321,12 +325,13 @@
             .any(|(_, c)| is_poll(c) && c.to_host.next_due().is_some())
     }
 
-    /// Current version of the endpoint list.
+    /// Returns the current version of the endpoint list.
     pub fn version(&self) -> u64 {
         self.endpoints.version
     }
 }
 
+/// Returns a text as one chunk of an HTTP/1.1 chunked body.
 fn http_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/testbed/src/fleet/peers/endpoint_list.rs
+++ b/crates/testbed/src/fleet/peers/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the discovery service knows it: entries, version, recent changes and updates to come.
+//! Endpoint list of the discovery service: entries, version, recent changes and pending updates.
 use super::SimulatedPeers;
 use crate::fleet::host_config::HostConfig;
 use mallowseam_audit::trace::Micros;
@@ -6,22 +6,24 @@
 use std::collections::VecDeque;
 use std::fmt::Write;
 
-/// Changes that the service remembers one by one; to hosts with an older version it sends a full snapshot.
+/// Maximum number of changes that the service keeps. A host with a version before the oldest of them gets a full
+/// snapshot.
 const MAX_CHANGES: usize = 256;
-/// Version at the start of a run.
+/// Version of the endpoint list at the start of a run.
 const FIRST_VERSION: u64 = 40;
-/// By how much the version of an initial list that is ahead is higher, and of a stale one lower.
+/// Number of versions by which an initial list that is ahead exceeds the current version.
 const VERSIONS_AHEAD: u64 = 1_000;
+/// Number of versions by which a stale initial list is behind the current version.
 const VERSIONS_STALE: u64 = 9;
 
-/// Status of a node in the list.
+/// Status of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NodeStatus {
-    /// It accepts block I/Os.
+    /// The node accepts block I/Os.
     Ready,
-    /// It finishes those in flight.
+    /// The node completes block I/Os in flight and accepts no new ones.
     Draining,
-    /// It is not in the list.
+    /// The node is not in the endpoint list.
     Removed,
 }
 
@@ -35,37 +37,38 @@
     }
 }
 
-/// A node's entry.
+/// Entry of a node in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ListedNode {
-    /// The shard that it serves.
+    /// Shard that the node serves.
     pub shard: u32,
-    /// Its status.
+    /// Status of the node.
     pub status: NodeStatus,
-    /// Start of its process, in microseconds of the run; 0: long ago.
+    /// Start of the node's process, in microseconds since the start of the run; 0 if it started long before the run.
     pub started_at: Micros,
 }
 
 impl ListedNode {
-    /// Whether hosts may send to it.
-    pub(super) fn accepting(&self) -> bool {
+    /// Returns whether hosts may send block I/Os to the node.
+    pub(super) fn is_accepting(&self) -> bool {
         self.status == NodeStatus::Ready
     }
 }
 
-/// An update that the service will learn of.
+/// Update that has not reached the service yet.
 struct PendingUpdate {
     at: Micros,
     node: u32,
     entry: ListedNode,
 }
 
-/// A change in the list.
+/// Applied change of the endpoint list.
 struct Change {
     version: u64,
     node: u32,
 }
 
+/// Endpoint list with its version and history.
 pub(super) struct EndpointList {
     nodes: Vec<ListedNode>,
     pub version: u64,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Adds a node without a change of the version.
+    /// Adds a node without changing the version.
     pub fn add(&mut self, entry: ListedNode) {
         self.nodes.push(entry);
     }
@@ -92,11 +95,12 @@
         self.nodes[node as usize]
     }
 
+    /// Schedules an update of a node's entry.
     pub fn schedule(&mut self, at: Micros, node: u32, entry: ListedNode) {
         self.pending.push_back(PendingUpdate { at, node, entry });
     }
 
-    /// Applies the next update that is due, and returns the node and its entry.
+    /// Applies the next update that is due, and returns the node and its new entry.
     pub fn apply_next(&mut self, now: Micros) -> Option<(u32, ListedNode)> {
         let PendingUpdate { node, entry, .. } =
             self.pending.pop_front_if(|update| update.at <= now)?;
@@ -112,14 +116,14 @@
         Some((node, entry))
     }
 
-    /// Nodes that are not removed.
+    /// Returns the nodes that are not removed.
     pub fn current_nodes(&self) -> Vec<u32> {
         (0..self.nodes.len() as u32)
             .filter(|n| self.node(*n).status != NodeStatus::Removed)
             .collect()
     }
 
-    /// Nodes that changed since a version; none if that is not known.
+    /// Returns the nodes that changed since a version, or `None` if the kept changes do not reach back to it.
     pub fn changed_since(&self, version: u64) -> Option<Vec<u32>> {
         let oldest = self
             .changes
@@ -140,7 +144,7 @@
 }
 
 impl SimulatedPeers {
-    /// A line of the list for one host. `full`: it is a full snapshot.
+    /// Returns a line of the endpoint list for one host. `full` marks it as a full snapshot.
     pub(super) fn list_text(&self, host: u32, full: bool, version: u64, nodes: &[u32]) -> String {
         let mut out = format!("{{\"seq\":{version},\"whole\":{full},\"hosts\":[");
         for (i, node) in nodes.iter().enumerate() {
@@ -159,13 +163,13 @@
                 entry.shard,
                 entry.status.as_text()
             )
-            .expect("writing to a string succeeds");
+            .expect("writing to a string does not fail");
         }
         out.push_str("]}\n");
         out
     }
 
-    /// The list that a host is started with, as JSON.
+    /// Returns the endpoint list that a host is started with, as JSON.
     fn initial_list(&self, host: u32) -> String {
         let current = self.endpoints.version;
         let list = |version, nodes: &[u32]| self.list_text(host, true, version, nodes);
@@ -180,21 +184,21 @@
                     .into_iter()
                     .filter(|n| n % 2 == 0)
                     .collect();
-                // It names a node that is no more.
+                // The stale list contains a node that no longer exists.
                 list(current.saturating_sub(VERSIONS_STALE), &nodes)
                     .replace("node0\"", "node-of-old\"")
             }
         }
     }
 
-    /// The configuration of a host that is started or reloaded now.
-    pub(crate) fn host_config(&self, host: u32, list: u32, seed: u64) -> String {
+    /// Returns the configuration of a host that is started or reloaded now.
+    pub(crate) fn host_config(&self, host: u32, discovery_service: u32, seed: u64) -> String {
         let config = HostConfig {
             scenario: &self.scenario,
             addresses: self.addresses,
             host,
             name_number: self.name_numbers[host as usize],
-            list,
+            discovery_service,
             seed,
             initial_list: &self.initial_list(host),
         };
--- a/crates/testbed/src/fleet/peers/event_loop.rs
+++ b/crates/testbed/src/fleet/peers/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: sockets first, then timers, then what the models of services, nodes and clients have due.
+//! Event loop: handles sockets first, then timers, then due events of the models of services, nodes and clients.
 use super::connections::ConnectionId;
 use super::{SimulatedPeers, membership};
 use mallowseam_audit::trace::Micros;
@@ -9,27 +9,28 @@
 use std::io;
 use std::time::Duration;
 
+/// Maximum number of socket events handled in one iteration.
 const EVENT_CAPACITY: usize = 1_024;
-/// Operations that clients send in one iteration at most, so that a loop that was delayed looks at its sockets in
-/// between.
+/// Maximum number of operations that clients send in one iteration, so that a delayed loop handles its sockets between
+/// them.
 const MAX_REQUESTS_PER_ITERATION: usize = 64;
 
-/// What is to be done at a time.
+/// Action that is due at a certain time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// Bytes of a connection are due.
+    /// Delivers the bytes that are due on a connection.
     Pump(ConnectionId),
-    /// A timeout of a connection: its index, and the identifier of the timeout.
+    /// Ends a connection by its timeout: index of the connection, and identifier of the timeout.
     Timeout(u32, u64),
-    /// A client retries: place of the operation.
+    /// Sends a retry of a client: index of the operation.
     Retry(u32),
-    /// A host's readiness is checked.
+    /// Checks a host's readiness.
     CheckReadiness(u32),
-    /// Idle watches get a keep-alive line.
+    /// Sends a keep-alive line on watches.
     WatchKeepAlive,
-    /// The discovery service learns of updates and sends them.
+    /// Applies due updates to the endpoint list and sends them on watches.
     PublishUpdates,
-    /// A datagram arrives: its place.
+    /// Delivers a datagram: index of the datagram.
     DeliverDatagram(u32),
 }
 
@@ -47,10 +48,10 @@
             .min()
     }
 
-    /// One iteration: waits for something to happen, for so long at most, and handles it.
+    /// Runs one iteration: waits until something is due, but at most `max_wait`, and handles it.
     ///
     /// # Panics
-    /// If the operating system's poll fails.
+    /// If the event poll of the operating system fails.
     pub(crate) fn run_once(&mut self, max_wait: Duration) {
         let until_due = |due: Micros| Duration::from_micros(due.saturating_sub(self.now()));
         let wait = self
@@ -58,11 +59,14 @@
             .map_or(max_wait, |due| until_due(due).min(max_wait));
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         if let Err(e) = self.poll.poll(&mut events, Some(wait)) {
-            assert!(e.kind() == io::ErrorKind::Interrupted, "poll: {e}");
+            assert!(
+                e.kind() == io::ErrorKind::Interrupted,
+                "event poll failed: {e}"
+            );
         }
         for event in &events {
             let Token(token) = event.token();
-            // Even tokens are listeners, odd ones connections.
+            // Below the tokens of datagram sockets, even tokens are listeners and odd ones connections.
             if token >= membership::FIRST_DATAGRAM_TOKEN {
                 self.on_datagrams(token - membership::FIRST_DATAGRAM_TOKEN);
             } else if token % 2 == 0 {
@@ -96,10 +100,10 @@
                 }
             }
             Timer::Timeout(index, timeout_id) => self.on_timeout(index, timeout_id),
-            Timer::Retry(place) => {
+            Timer::Retry(index) => {
                 if let Some(operation) = self
                     .pending_retries
-                    .remove(place)
+                    .remove(index)
                     .filter(|_| self.clients_active)
                 {
                     self.send_request(operation);
@@ -107,7 +111,7 @@
             }
             Timer::CheckReadiness(host) => self.check_readiness(host),
             Timer::WatchKeepAlive => self.send_watch_keep_alive(now),
-            Timer::DeliverDatagram(place) => self.deliver_datagram(place),
+            Timer::DeliverDatagram(index) => self.deliver_datagram(index),
             Timer::PublishUpdates => {
                 self.update_listeners();
                 self.publish_updates();
--- a/crates/testbed/src/fleet/peers/hosts.rs
+++ b/crates/testbed/src/fleet/peers/hosts.rs
@@ -1,4 +1,4 @@
-//! What the peers know of host processes: whether clients use them.
+//! State of host processes as clients see it, and readiness checks.
 use super::{ConnectionRole, Event, SimulatedPeers, Timer};
 use mallowseam_audit::trace::Micros;
 use mallowseam_http1::ResponseReader;
@@ -7,30 +7,31 @@
 use std::cmp::Reverse;
 use std::ops::RangeInclusive;
 
-/// Pause between two readiness checks of a host.
+/// Pause between two readiness checks of a host, in microseconds.
 const READINESS_INTERVAL: Micros = 20_000;
-/// Timeout of a readiness check.
+/// Timeout of a readiness check, in microseconds.
 const READINESS_TIMEOUT: Micros = 2_000_000;
 
-/// After SIGTERM, new connections still come for a time within these bounds, as on the users' platform.
+/// Range of the time after SIGTERM in which clients still open new connections, in microseconds; as on the users'
+/// platform.
 const NEW_CONNECTIONS_AFTER_SIGTERM: RangeInclusive<Micros> = 200_000..=400_000;
 
-/// A host as clients see it.
+/// State of a host as clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HostState {
-    /// It does not run.
+    /// The host is not running.
     Stopped,
-    /// It runs and has not reported readiness.
+    /// The host is running and has not reported readiness.
     Starting,
-    /// Clients use it.
+    /// The host has reported readiness; clients use it.
     Ready,
 }
 
 impl SimulatedPeers {
-    /// A host's process was started. Its readiness is polled from now on.
+    /// Records the start of a host's process, and starts its readiness checks.
     pub(crate) fn host_started(&mut self, host: u32) {
         self.record(Event::HostStarted { host });
-        // Its configuration has all that the service had by now.
+        // The host's configuration contains all updates that the service has.
         if self.scenario.initial_list == InitialList::Current {
             self.undelivered.retain(|update| update.host != host);
         }
@@ -39,35 +40,37 @@
         self.schedule_readiness_check(host);
     }
 
-    /// A host was sent SIGTERM: clients use the connections that they have, and soon open no more.
+    /// Records that a host was sent SIGTERM: clients keep using their connections to it, and open new ones for a short
+    /// time only.
     pub(crate) fn host_terminated(&mut self, host: u32) {
         let until = self.now() + self.rng.random_range(NEW_CONNECTIONS_AFTER_SIGTERM);
         self.new_connections_until[host as usize].get_or_insert(until);
     }
 
-    /// Whether clients send requests to a host: it is ready, and they have a connection to it or may open one.
-    pub(super) fn takes_requests(&self, host: u32) -> bool {
+    /// Returns whether clients send requests to a host: it is ready, and they have an idle connection to it or may open
+    /// one.
+    pub(super) fn accepts_requests(&self, host: u32) -> bool {
         let has_idle = || {
             self.idle_connections
                 .get(&host)
                 .is_some_and(|idle| !idle.is_empty())
         };
-        self.takes_connections(host) || (self.is_ready(host) && has_idle())
+        self.accepts_connections(host) || (self.is_ready(host) && has_idle())
     }
 
-    /// Whether clients open connections to a host.
-    pub(super) fn takes_connections(&self, host: u32) -> bool {
+    /// Returns whether clients open new connections to a host.
+    pub(super) fn accepts_connections(&self, host: u32) -> bool {
         let until = self.new_connections_until[host as usize];
         self.is_ready(host) && until.is_none_or(|until| self.now() < until)
     }
 
-    /// A host's process ended: clients use it no more.
+    /// Records the end of a host's process: clients no longer use the host.
     pub(crate) fn host_stopped(&mut self, host: u32) {
         self.host_states[host as usize] = HostState::Stopped;
         self.idle_connections.remove(&host);
     }
 
-    /// A host was paused or resumed. Its requests in flight are excused.
+    /// Records that a host was paused or resumed. Its requests in flight are excused.
     pub(crate) fn set_paused(&mut self, host: u32, paused: bool) {
         self.paused[host as usize] = paused;
         let in_flight = self.request_hosts.iter().filter(|(_, h)| **h == host);
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Whether a host has reported readiness.
+    /// Returns whether a host has reported readiness.
     pub fn is_ready(&self, host: u32) -> bool {
         self.host_states[host as usize] == HostState::Ready
     }
@@ -87,6 +90,7 @@
         self.timers.push(Reverse((at, Timer::CheckReadiness(host))));
     }
 
+    /// Sends a readiness check to a host that is starting.
     pub(super) fn check_readiness(&mut self, host: u32) {
         if self.host_states[host as usize] != HostState::Starting {
             return;
--- a/crates/testbed/src/fleet/peers/listeners.rs
+++ b/crates/testbed/src/fleet/peers/listeners.rs
@@ -1,4 +1,5 @@
-//! Listeners for hosts' connections: open, refused or blackholed, as links and peers are.
+//! Listeners for hosts' connections to peers. Links and peers determine whether each accepts, refuses or blackholes
+//! connections.
 use super::{ConnectionRole, Event, SimulatedPeers};
 use crate::fleet::error::TestbedError;
 use mallowseam_http1::RequestReader;
@@ -9,18 +10,19 @@
 use socket2::SockRef;
 use std::net::SocketAddr;
 
-/// Connections accepted in one event of a listener.
+/// Maximum number of connections accepted in one event of a listener.
 const MAX_ACCEPTS_PER_EVENT: usize = 64;
+/// Length of a listener's accept queue.
 const LISTEN_BACKLOG: i32 = 1_024;
 
-/// Where one host reaches one peer.
+/// Listener at which one host reaches one peer.
 pub(super) struct PeerListener {
     host: u32,
     peer: Peer,
     address: SocketAddr,
     listener: Option<TcpListener>,
     state: ConnectOutcome,
-    /// Fills the accept queue while the link is blackholed, so that no connection is established.
+    /// Connection that fills the accept queue while the link is blackholed, so that no other connection is established.
     backlog_filler: Option<std::net::TcpStream>,
 }
 
@@ -49,6 +51,7 @@
         Ok(())
     }
 
+    /// Returns the state that a listener must have, given its link and peer.
     fn listener_state(&self, listener: &PeerListener) -> ConnectOutcome {
         let by_link = self
             .links
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Opens and closes listeners as links and peers are now.
+    /// Opens and closes listeners according to the current state of links and peers.
     pub(super) fn update_listeners(&mut self) {
         for index in 0..self.listeners.len() {
             let state = self.listener_state(&self.listeners[index]);
@@ -95,7 +98,7 @@
             listener
         };
         if state == ConnectOutcome::Blackholed {
-            // One connection that nobody accepts fills a queue of length zero: later ones get no answer.
+            // One connection that is not accepted fills an accept queue of length zero; later ones get no response.
             let _ = SockRef::from(&listener).listen(0);
             while let Ok((socket, _)) = listener.accept() {
                 drop(socket);
@@ -123,7 +126,7 @@
             let peer = entry.peer;
             self.on_accepted(host, peer, socket);
         }
-        // More may wait, which an edge-triggered poll would not report again.
+        // More connections may be queued, which an edge-triggered poll does not report again.
         if let Some(Some(listener)) = self.listeners.get_mut(index).map(|l| l.listener.as_mut()) {
             let token = listener_token(index);
             let _ = self
--- a/crates/testbed/src/fleet/peers/membership.rs
+++ b/crates/testbed/src/fleet/peers/membership.rs
@@ -1,5 +1,6 @@
-//! Datagrams between hosts, and what hosts report of their membership tables. Hosts advertise an address at which the
-//! testbed listens: what arrives there passes the link's fault and is forwarded from the sender's advertised address.
+//! Datagrams between hosts, and queries of hosts' membership tables. Each host advertises an address at which the testbed
+//! listens. The testbed subjects the datagrams that arrive there to the link's fault, and forwards them from the sender's
+//! advertised address.
 use super::{SimulatedPeers, Timer};
 use crate::fleet::addresses::Addresses;
 use crate::fleet::error::TestbedError;
@@ -16,52 +17,53 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Datagrams in flight; further ones are lost, as on a congested network.
+/// Maximum number of datagrams in flight. Further ones are lost, as on a congested network.
 const MAX_IN_FLIGHT: usize = 16_384;
 /// Port of the socket that queries membership tables.
 const PORT_OBSERVER: u16 = 7200;
-/// Datagrams read from one socket in one event.
+/// Maximum number of datagrams read from one socket in one event.
 const MAX_DATAGRAMS_PER_EVENT: usize = 256;
-/// A query without a page for so long is given up.
+/// Time without a response after which a query may be replaced by a new one, in microseconds.
 const QUERY_TIMEOUT: Micros = 400_000;
-/// First token of datagram sockets, above those of all connections.
+/// First token of datagram sockets, above the tokens of all listeners and connections.
 pub(super) const FIRST_DATAGRAM_TOKEN: usize = 1 << 40;
 
+/// Datagram in flight between two hosts.
 struct Datagram {
     to: u32,
     from: u32,
     bytes: Vec<u8>,
 }
 
-/// A query of a host's table under way.
+/// Query of a host's membership table in progress, with the members received so far.
 struct Query {
     requested_at: Micros,
     table: MembershipSnapshot,
 }
 
-/// A host's membership table as it reported it.
+/// Membership table that a host reported.
 #[derive(Clone, Debug)]
 pub struct MembershipView {
-    /// When it was requested.
+    /// Time of the query.
     pub requested_at: Micros,
-    /// The table.
+    /// Membership table.
     pub table: MembershipSnapshot,
 }
 
-/// The links between hosts, and their membership tables.
+/// Links between hosts for membership datagrams, and the hosts' membership tables.
 #[derive(Default)]
 pub struct MembershipLinks {
     sockets: Vec<UdpSocket>,
     observer: Option<UdpSocket>,
     in_flight: Slab<Datagram>,
     queries: BTreeMap<u32, Query>,
-    /// The last table of each host.
+    /// Last membership table of each host.
     views: BTreeMap<u32, MembershipView>,
-    /// All tables in summary.
+    /// Summaries of all membership tables that were queried.
     pub samples: Vec<MembershipSample>,
-    /// Datagrams lost by faults.
+    /// Number of datagrams lost by faults.
     pub lost: u64,
-    /// Bytes that each host sent.
+    /// Bytes that each host sent, by host.
     pub bytes_sent: Vec<u64>,
 }
 
@@ -89,7 +91,7 @@
         Ok(socket)
     }
 
-    /// Datagrams have arrived at the socket of a host, or of the observer behind them.
+    /// Reads datagrams from the socket with an index: that of a host, or after the hosts that of the observer.
     pub(super) fn on_datagrams(&mut self, index: usize) {
         if index == self.scenario.hosts as usize {
             return self.on_pages();
@@ -105,7 +107,7 @@
                 self.forward_datagram(from, index as u32, &bytes[..len]);
             }
         }
-        // More may wait, which an edge-triggered poll would not report again.
+        // More datagrams may be queued, which an edge-triggered poll does not report again.
         if let Some(socket) = self.membership.sockets.get_mut(index) {
             let token = Token(FIRST_DATAGRAM_TOKEN + index);
             let _ = self
@@ -130,21 +132,21 @@
                 0
             };
             let at = self.now() + fault.latency + jitter;
-            let place = self.membership.in_flight.insert(Datagram {
+            let index = self.membership.in_flight.insert(Datagram {
                 to,
                 from,
                 bytes: bytes.to_vec(),
             });
             if fault.latency + jitter == 0 {
-                self.deliver_datagram(place);
+                self.deliver_datagram(index);
             } else {
                 self.timers
-                    .push(Reverse((at, Timer::DeliverDatagram(place))));
+                    .push(Reverse((at, Timer::DeliverDatagram(index))));
             }
         }
     }
 
-    /// How many copies of a datagram arrive.
+    /// Draws the number of copies of a datagram that arrive: 0 if it is lost, 2 if it is duplicated.
     fn draw_copies(&mut self, fault: &LinkFault) -> u32 {
         if fault.loss > 0.0 && self.rng.random_bool(fault.loss) {
             0
@@ -155,8 +157,8 @@
         }
     }
 
-    pub(super) fn deliver_datagram(&mut self, place: u32) {
-        let Some(Datagram { to, from, bytes }) = self.membership.in_flight.remove(place) else {
+    pub(super) fn deliver_datagram(&mut self, index: u32) {
+        let Some(Datagram { to, from, bytes }) = self.membership.in_flight.remove(index) else {
             return;
         };
         let address = self.addresses.membership_listen(to);
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Sends a host bytes from an address that is no member's.
+    /// Sends bytes to a host's membership protocol from an address that belongs to no member.
     pub fn send_from_stranger(&mut self, to: u32, bytes: &[u8]) {
         let address = self.addresses.membership_listen(to);
         if let Some(observer) = &self.membership.observer {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Queries a host's membership table, unless a query is under way.
+    /// Queries a host's membership table, unless a query of it is in progress.
     pub fn query_membership(&mut self, host: u32) {
         let now = self.now();
         let queries = &mut self.membership.queries;
@@ -250,7 +252,7 @@
         );
     }
 
-    /// The last membership table that a host reported.
+    /// Returns the last membership table that a host reported.
     pub fn last_view(&self, host: u32) -> Option<&MembershipView> {
         self.membership.views.get(&host)
     }
--- a/crates/testbed/src/fleet/peers/nodes.rs
+++ b/crates/testbed/src/fleet/peers/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes: their starts and stops, hosts' requests to them, and their responses.
+//! Simulated nodes: their starts and stops, hosts' requests to them, and their responses.
 use super::{ConnectionRole, Event, HTTP_LIMITS, ListedNode, NodeStatus, SimulatedPeers, Timer};
 use crate::fleet::error::TestbedError;
 use mallowseam_audit::trace::Micros;
@@ -7,14 +7,14 @@
 use mallowseam_stand_ins::simulated_node::{Arrival, NodeRequest, SimulatedNode};
 use std::cmp::Reverse;
 
-/// Nodes that are added within this time are listed from the beginning.
+/// Time after the start of a run within which added nodes are in the endpoint list at once, in microseconds.
 const INITIAL_NODES_WITHIN: Micros = 100_000;
 
 impl SimulatedPeers {
-    /// Adds a node of a shard and returns its index. `cold`: it starts now.
+    /// Adds a node of a shard and returns its index. With `cold`, the node starts now, else it has run for long.
     ///
     /// # Errors
-    /// A listener can't be opened.
+    /// A listener cannot be opened.
     pub(crate) fn add_node(&mut self, shard: u32, cold: bool) -> Result<u32, TestbedError> {
         let node = self.nodes.len() as u32;
         let now = self.now();
@@ -48,12 +48,12 @@
         Ok(node)
     }
 
-    /// A node as the discovery service knows it.
+    /// Returns a node's entry in the endpoint list of the discovery service.
     pub(crate) fn listed_node(&self, node: u32) -> ListedNode {
         self.endpoints.node(node)
     }
 
-    /// The discovery service learns of a node's change once its lag is over.
+    /// Schedules an update of a node's entry in the endpoint list, after the lag of the discovery service.
     pub(crate) fn schedule_update(&mut self, node: u32, entry: ListedNode) {
         self.schedule_update_from(self.now(), node, entry);
     }
@@ -64,7 +64,7 @@
         self.timers.push(Reverse((at, Timer::PublishUpdates)));
     }
 
-    /// Stops a node.
+    /// Stops a node and removes it from the endpoint list.
     pub fn stop_node(&mut self, node: u32) {
         self.nodes[node as usize].stop();
         self.reset_node_connections(node);
@@ -80,7 +80,7 @@
         self.update_listeners();
     }
 
-    /// Starts a node, cold.
+    /// Starts a node, which is then cold, and adds it to the endpoint list.
     pub fn start_node(&mut self, node: u32) {
         let now = self.now();
         self.nodes[node as usize].start(now);
@@ -104,7 +104,7 @@
         self.nodes[node as usize].connections = 0;
     }
 
-    /// A whole request of a host has arrived at a node.
+    /// Handles a complete request of a host to a node.
     pub(super) fn on_node_request(&mut self, index: u32, request: &[u8]) {
         let Some(Attempt { op, units, write }) = Attempt::parse(request) else {
             return self.close(index, true);
@@ -162,7 +162,7 @@
         self.schedule_update_from(restarts_at, node, entry);
     }
 
-    /// A node responds to a request.
+    /// Sends a node's response to a request.
     pub(super) fn respond(&mut self, index: u32, node: u32, op: u64, executed: bool) {
         if let Some(connection) = self.connections.get_mut(index)
             && let ConnectionRole::Node { pending, .. } = &mut connection.role
@@ -179,7 +179,7 @@
     }
 }
 
-/// What a host's request asks of a node.
+/// Attempt of a host at a block I/O on a node.
 struct Attempt {
     op: u64,
     units: u32,
@@ -187,7 +187,7 @@
 }
 
 impl Attempt {
-    /// None where the request is malformed.
+    /// Parses a request. Returns `None` if it is malformed.
     fn parse(request: &[u8]) -> Option<Attempt> {
         let head = RequestHead::parse(request, HTTP_LIMITS).ok().flatten()?;
         let header = |name| head.headers.single(name).ok().flatten().unwrap_or_default();
@@ -199,6 +199,7 @@
     }
 }
 
+/// Returns the units in the value of an `X-Placement` header.
 fn placement_units(placement: &str) -> Option<u32> {
     placement
         .strip_prefix("units=")?
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! Host processes: each has its own address, configuration and limits. They are started and signalled by process id,
-//! and all of them are killed when the owner is dropped, also when a test panics.
+//! Host processes, each with its own address, configuration and limits. They are signalled by process id, and all of them
+//! are killed when the owner is dropped, even if a test panics.
 use super::error::TestbedError;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -7,22 +7,22 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Milliseconds in a clock tick of `/proc/<pid>/stat`.
+/// Duration of a clock tick in `/proc/<pid>/stat`, in milliseconds.
 const MS_PER_TICK: u64 = 10;
-/// Fields of `/proc/<pid>/stat` between the process name and its user time.
+/// Number of fields in `/proc/<pid>/stat` between the process name and the user time.
 const STAT_FIELDS_BEFORE_CPU_TIME: usize = 11;
 
-/// The program of a host, and its arguments.
+/// Command that starts a host: an executable and its arguments.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments before all others.
+    /// Arguments that precede all others.
     pub args: Vec<String>,
 }
 
 impl Program {
-    /// The `mallowseam` that was built next to this program, or this program in its place.
+    /// Returns the `mallowseam` executable in the directory of this program, or this program if there is none.
     pub fn next_to(this: &Path) -> Self {
         let gateway = this.with_file_name("mallowseam");
         if gateway.is_file() {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The same program with further arguments.
+    /// Appends arguments to those of the program.
     #[must_use]
     pub fn with_arguments(mut self, args: &[&str]) -> Self {
         self.args.extend(args.iter().map(|a| (*a).to_owned()));
@@ -46,14 +46,14 @@
     }
 }
 
-/// Resources that a process uses.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
     /// Resident memory in kilobytes.
     pub memory_kb: u64,
-    /// Processor time so far, in milliseconds.
+    /// CPU time since the start of the process, in milliseconds.
     pub cpu_ms: u64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
@@ -63,12 +63,12 @@
     dir: PathBuf,
     /// The process of each host, while it runs.
     children: Vec<Option<Child>>,
-    /// Limit on each host's open file descriptors.
+    /// Maximum number of open file descriptors of each host.
     max_descriptors: u32,
 }
 
 impl HostProcesses {
-    /// No host runs at first. Configurations and logs are written to `dir`.
+    /// Returns the processes of a run before any host is started. Configurations and logs are written to `dir`.
     pub(crate) fn new(program: Program, dir: &Path, hosts: u32, max_descriptors: u32) -> Self {
         let children = (0..hosts).map(|_| None).collect();
         HostProcesses {
@@ -89,10 +89,10 @@
         self.dir.join(format!("h{host}.log"))
     }
 
-    /// Starts a host with this configuration; a process of it that still runs is killed first.
+    /// Starts a host with a configuration. If the host is still running, its process is killed first.
     ///
     /// # Errors
-    /// Configuration or log can't be written, or the process can't be started.
+    /// The configuration or log cannot be written, or the process cannot be started.
     pub(crate) fn start(&mut self, host: u32, config: &str) -> Result<(), TestbedError> {
         self.kill(host);
         let failed = |source: std::io::Error| TestbedError::Host { host, source };
@@ -102,7 +102,7 @@
             .append(true)
             .open(self.log(host))
             .map_err(failed)?;
-        // The shell sets the limit and becomes the program, so that its process id is the host's.
+        // The shell sets the limit and then replaces itself with the program, so that its process id is the host's.
         let child = Command::new("/bin/sh")
             .args([
                 "-c",
@@ -120,10 +120,10 @@
         Ok(())
     }
 
-    /// Writes a new configuration of a host that runs, and sends SIGHUP.
+    /// Writes a new configuration of a running host, and sends the host SIGHUP.
     ///
     /// # Errors
-    /// The configuration can't be written.
+    /// The configuration cannot be written.
     pub(crate) fn reload(&self, host: u32, config: &str) -> Result<(), TestbedError> {
         let failed = |source| TestbedError::Host { host, source };
         std::fs::write(self.config(host), config).map_err(failed)?;
@@ -131,19 +131,19 @@
         Ok(())
     }
 
-    /// Whether a host's process runs.
-    pub fn running(&self, host: u32) -> bool {
+    /// Returns whether a host's process is running.
+    pub fn is_running(&self, host: u32) -> bool {
         self.children[host as usize].is_some()
     }
 
-    /// Sends a signal to a host that runs.
+    /// Sends a signal to a host, if it is running.
     pub(crate) fn signal(&self, host: u32, signal: Signal) {
         if let Some(child) = &self.children[host as usize] {
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Kills a host that runs, and waits for its end.
+    /// Kills a host, if it is running, and waits until its process has ended.
     pub(crate) fn kill(&mut self, host: u32) {
         if let Some(mut child) = self.children[host as usize].take() {
             let _ = child.kill();
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Hosts that have exited since the last call, with their exit codes (-1: by a signal).
+    /// Returns the hosts that have exited since the last call, with their exit codes (-1 if a signal ended the process).
     pub(crate) fn reap_exited(&mut self) -> Vec<(u32, i32)> {
         let mut exited = Vec::new();
         for (host, slot) in self.children.iter_mut().enumerate() {
@@ -165,14 +165,14 @@
         exited
     }
 
-    /// What a host that runs uses now.
+    /// Returns the current resource usage of a host, or `None` if the host is not running.
     pub fn usage(&self, host: u32) -> Option<ResourceUsage> {
         let id = self.children[host as usize].as_ref()?.id();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let memory = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
         let memory_kb = memory.split_whitespace().next()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-        // The process name stands in brackets and may contain spaces.
+        // The process name is in parentheses and may contain spaces.
         let mut fields = stat
             .rsplit(')')
             .next()?
--- a/crates/testbed/src/fleet/soak.rs
+++ b/crates/testbed/src/fleet/soak.rs
@@ -1,5 +1,5 @@
-//! A soak: many short scenarios, each drawn by its seed, played several at a time. What breaks a rule is a finding, with
-//! the history of the request or process that it is about.
+//! Soak test: many short scenarios, each drawn by its seed, several of them played concurrently. Each violation of a rule
+//! is a finding, reported with the history of the request or process that it concerns.
 use super::error::TestbedError;
 use super::history;
 use super::outcome::Outcome;
@@ -14,43 +14,43 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Sender, channel};
 
-/// A restarted host counts as ready in time within this, in microseconds.
-const READY_TIME: Micros = 10_000_000;
-/// Of ten restarted hosts, so many are ready in time.
+/// Time after its start within which a host must be ready, in microseconds.
+const READY_DEADLINE: Micros = 10_000_000;
+/// Number of starts, of every ten, after which the host must be ready in time.
 const READY_IN_TEN: usize = 9;
 
-/// What to play.
+/// Parameters of a soak test.
 pub struct Soak {
-    /// The seeds.
+    /// Seeds of the scenarios.
     pub seeds: Vec<u64>,
-    /// Number of hosts, where the seed does not draw it.
+    /// Number of hosts, or `None` for the number that each seed draws.
     pub hosts: Option<u32>,
-    /// Directory in which logs and configurations of each seed are kept.
+    /// Directory in which the logs and configurations of each seed are kept, or `None` to delete them.
     pub keep: Option<PathBuf>,
-    /// Scenarios that are played at once.
+    /// Number of scenarios that are played concurrently.
     pub parallel: usize,
-    /// The host.
+    /// Program of the hosts.
     pub program: Program,
 }
 
-/// What one seed brought.
+/// Result of the scenario of one seed.
 pub struct SeedReport {
-    /// The seed.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Starts of hosts.
+    /// Number of host starts that the readiness check covers.
     pub host_starts: usize,
-    /// Requests that crossed the close of their connection and were sent once more.
+    /// Number of requests that were sent while the host closed their connection, and then once more.
     pub not_taken: u64,
-    /// The longest delay of the event loop of the simulated peers, in microseconds.
+    /// Longest delay of the event loop of the simulated peers, in microseconds.
     pub max_lag: Micros,
-    /// Each violation, followed by the history of what it is about.
+    /// Violations, each followed by the history of the request or host that it concerns.
     pub findings: Vec<String>,
 }
 
 impl Soak {
-    /// Plays all seeds; `on_report` gets each report as its seed ends.
+    /// Plays the scenarios of all seeds, and calls `on_report` with the report of each as it ends.
     ///
     /// # Errors
     /// The testbed itself fails.
@@ -101,7 +101,7 @@
 fn report(seed: u64, scenario: &Scenario, outcome: &Outcome, dir: &Path) -> SeedReport {
     let mut findings = outcome.violations();
     findings.extend(late_hosts(scenario, &outcome.observations));
-    findings.extend(hosts_past_limits(scenario, outcome));
+    findings.extend(hosts_exceeding_limits(scenario, outcome));
     let findings = findings
         .into_iter()
         .map(|finding| history::with_history(&finding, outcome, dir))
@@ -117,7 +117,8 @@
     }
 }
 
-/// For each start of a host that was not ended within the time for it to be ready: the time until it was, if it was.
+/// Returns the time from start to readiness for each start of a host, or `None` if the host was not ready by its stop or
+/// the end of the run. Starts without readiness that lasted no longer than [`READY_DEADLINE`] are left out.
 fn ready_times(observations: &[Observation]) -> Vec<Option<Micros>> {
     let mut starting: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut times = Vec::new();
@@ -129,39 +130,46 @@
             }
             Event::HostStopped { host, .. } => {
                 let start = starting.remove(&host);
-                times.extend(start.filter(|start| at - start > READY_TIME).map(|_| None));
+                times.extend(
+                    start
+                        .filter(|start| at - start > READY_DEADLINE)
+                        .map(|_| None),
+                );
             }
             _ => {}
         }
     }
     let end = observations.last().map_or(0, |last| last.at);
-    let late = starting.values().filter(|start| end - **start > READY_TIME);
+    let late = starting
+        .values()
+        .filter(|start| end - **start > READY_DEADLINE);
     times.extend(late.map(|_| None));
     times
 }
 
 fn late_hosts(scenario: &Scenario, observations: &[Observation]) -> Option<String> {
     let times = ready_times(observations);
-    let in_time = |time: &&Option<Micros>| time.is_some_and(|time| time <= READY_TIME);
+    let in_time = |time: &&Option<Micros>| time.is_some_and(|time| time <= READY_DEADLINE);
     let ready = times.iter().filter(in_time).count();
     (ready * 10 < times.len() * READY_IN_TEN).then(|| {
         format!(
-            "{ready} of {} starts were ready within 10 s, with {} hosts",
+            "only {ready} of {} host starts led to readiness within 10 s, in a run with {} hosts",
             times.len(),
             scenario.hosts
         )
     })
 }
 
-fn hosts_past_limits(scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
-    let is_past_limit = |kilobytes: u64, descriptors: usize| {
+fn hosts_exceeding_limits(scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
+    let exceeds_limit = |kilobytes: u64, descriptors: usize| {
         kilobytes > u64::from(scenario.memory_mb) * 1_024
             || descriptors > scenario.max_descriptors as usize
     };
-    let past = outcome
+    let exceeding = outcome
         .usage
         .iter()
-        .filter(|usage| is_past_limit(usage.memory_kb, usage.descriptors));
-    past.map(|usage| format!("a host is past its limits: {usage:?}"))
+        .filter(|usage| exceeds_limit(usage.memory_kb, usage.descriptors));
+    exceeding
+        .map(|usage| format!("a host exceeds its memory or descriptor limit: {usage:?}"))
         .collect()
 }
--- a/crates/testbed/src/fleet/testbed.rs
+++ b/crates/testbed/src/fleet/testbed.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: hosts as processes, their peers simulated, faults by schedule, and the audit in the end.
+//! Plays a scenario with host processes and simulated peers, injects the scheduled faults, and audits the run.
 use super::error::TestbedError;
 use super::outcome::Outcome;
 use super::peers::{ListedNode, NodeStatus, SimulatedPeers};
@@ -13,50 +13,53 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Longest iteration of the event loop: processes are checked in between.
+/// Maximum duration of an iteration of the event loop. Processes are checked between iterations.
 const ITERATION: Duration = Duration::from_millis(20);
-/// After the run, time for requests in flight, and then for hosts to end: longer than the longest deadline.
+/// Time after a run in which requests in flight may complete, and then again for hosts to exit. Longer than the longest
+/// deadline of a request.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
-/// A host that was sent SIGTERM is killed so long after the longest deadline, as on the users' platform.
+/// Time after SIGTERM and the longest deadline of a request at which a host is killed, in microseconds; as on the users'
+/// platform.
 const KILL_DELAY: Micros = 700_000;
-/// The longest deadline counts as so much at most.
+/// Upper bound of the longest deadline in the computation of the time at which a host is killed, in microseconds.
 const MAX_LONGEST_DEADLINE: Micros = 3_000_000;
-/// A longer delay of the event loop is taken into account by the audit.
+/// Delay of the event loop, in microseconds, above which the audit allows for the delay.
 const LAG_TOLERANCE: Micros = 60_000;
-/// Each host's membership table is queried at this interval, unless there are many hosts.
+/// Interval at which each host's membership table is queried, in microseconds. It is longer in fleets of more than
+/// [`MAX_QUERIES_PER_INTERVAL`] hosts.
 const QUERY_INTERVAL: Micros = 1_000_000;
-/// Queries in one interval at most.
+/// Maximum number of queries of membership tables in one interval.
 const MAX_QUERIES_PER_INTERVAL: u32 = 100;
-/// Distinguishes the hosts' seeds from other draws of the run's seed.
+/// Makes the seeds of hosts independent of other random numbers of the run's seed.
 const HOST_SEED_SALT: u64 = 0x5eed;
 
-/// The next query of a host's membership table.
+/// Next query of a host's membership table.
 struct NextQuery {
     host: u32,
     at: Micros,
 }
 
-/// A run in progress.
+/// Run in progress.
 pub struct Testbed {
     scenario: Scenario,
-    /// The simulated peers of the hosts.
+    /// Simulated peers of the hosts.
     pub peers: SimulatedPeers,
-    /// The host processes.
+    /// Host processes.
     pub processes: HostProcesses,
     host_seeds: Pcg64Mcg,
-    /// The discovery service that each host is configured with.
-    lists: Vec<u32>,
-    /// When each host was sent SIGTERM, while it still runs.
+    /// Index of the discovery service that each host is configured with.
+    discovery_services: Vec<u32>,
+    /// Time at which each host was sent SIGTERM; `None` for a host without SIGTERM or after its exit.
     terminated_at: Vec<Option<Micros>>,
     crashed: Vec<String>,
     max_lag: Micros,
     next_query: Option<NextQuery>,
 }
 
-/// Plays a scenario. `on_fault` gets a line for each fault as it happens.
+/// Plays a scenario. Calls `on_fault` with the time and a line of text for each fault as it is injected.
 ///
 /// # Errors
-/// The testbed itself fails; what hosts do wrong is in the outcome.
+/// The testbed itself fails. Wrong behaviour of hosts is reported in the outcome.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -82,10 +85,10 @@
 }
 
 impl Testbed {
-    /// Opens the sockets of all peers; no host runs yet. Configurations and logs of hosts are written to `dir`.
+    /// Opens the sockets of all peers, without starting any host. Configurations and logs of hosts are written to `dir`.
     ///
     /// # Errors
-    /// A socket can't be opened.
+    /// A socket cannot be opened.
     pub fn open(
         scenario: &Scenario,
         seed: u64,
@@ -102,7 +105,7 @@
                 scenario.max_descriptors,
             ),
             host_seeds: Pcg64Mcg::seed_from_u64(seed ^ HOST_SEED_SALT),
-            lists: vec![0; hosts],
+            discovery_services: vec![0; hosts],
             terminated_at: vec![None; hosts],
             crashed: Vec::new(),
             max_lag: 0,
@@ -114,15 +117,15 @@
     /// Starts all hosts.
     ///
     /// # Errors
-    /// A process can't be started.
+    /// A process cannot be started.
     pub fn start_all(&mut self) -> Result<(), TestbedError> {
         (0..self.scenario.hosts).try_for_each(|host| self.start(host))
     }
 
-    /// Starts a host; one that runs is killed first.
+    /// Starts a host. If the host is still running, its process is killed first.
     ///
     /// # Errors
-    /// The process can't be started.
+    /// The process cannot be started.
     pub fn start(&mut self, host: u32) -> Result<(), TestbedError> {
         let config = self.draw_config(host);
         self.kill(host);
@@ -132,31 +135,36 @@
         Ok(())
     }
 
+    /// Returns a configuration for a host, with a new seed for its random numbers.
     fn draw_config(&mut self, host: u32) -> String {
-        self.peers
-            .host_config(host, self.lists[host as usize], self.host_seeds.random())
+        self.peers.host_config(
+            host,
+            self.discovery_services[host as usize],
+            self.host_seeds.random(),
+        )
     }
 
-    /// Sends SIGKILL to a host that runs.
+    /// Sends SIGKILL to a host, if it is running.
     pub fn kill(&mut self, host: u32) {
-        if self.processes.running(host) {
+        if self.processes.is_running(host) {
             self.processes.kill(host);
             self.record_stop(host, Termination::Killed);
         }
     }
 
-    /// Sends SIGTERM to a host that runs, and SIGKILL later, as on the users' platform.
+    /// Sends SIGTERM to a host, if it is running. A host that does not exit in time gets SIGKILL, as on the users'
+    /// platform.
     pub fn terminate(&mut self, host: u32) {
-        if self.processes.running(host) {
+        if self.processes.is_running(host) {
             self.processes.signal(host, Signal::SIGTERM);
-            // The first signal counts.
+            // The first SIGTERM determines the time of the kill.
             self.terminated_at[host as usize].get_or_insert(self.peers.now());
             self.peers.host_terminated(host);
             self.record_stop(host, Termination::Requested);
         }
     }
 
-    /// Stops a host's process by SIGSTOP, or lets it continue by SIGCONT.
+    /// Pauses a host's process with SIGSTOP, or resumes it with SIGCONT.
     pub fn set_paused(&mut self, host: u32, paused: bool) {
         self.processes.signal(
             host,
@@ -180,7 +188,7 @@
         }
     }
 
-    /// One iteration: sockets, then processes.
+    /// Runs one iteration: handles sockets and timers, then checks the processes.
     pub fn run_once(&mut self) {
         self.query_memberships();
         let before = self.peers.now();
@@ -195,7 +203,7 @@
             if !was_requested || code != 0 {
                 let log = self.processes.log(host);
                 self.crashed.push(format!(
-                    "host {host} ended with {code}, see {}",
+                    "host {host} exited with code {code}, see {}",
                     log.display()
                 ));
             }
@@ -203,7 +211,7 @@
         }
     }
 
-    /// When the platform kills a host that was sent SIGTERM, at the earliest.
+    /// Returns the time at which a host that was sent SIGTERM is killed, or `None` for other hosts.
     fn kill_time(&self, host: u32) -> Option<Micros> {
         let load = &self.scenario.load;
         let longest = load.write_timeout.max(load.read_timeout);
@@ -211,14 +219,14 @@
         Some(terminated_at + longest.min(MAX_LONGEST_DEADLINE) + KILL_DELAY)
     }
 
-    /// The time until a host is killed, if that comes within an iteration.
+    /// Returns the time until the next host is killed, but at most the duration of an iteration.
     fn time_to_next_kill(&self, now: Micros) -> Duration {
         let kills = (0..self.scenario.hosts).filter_map(|host| self.kill_time(host));
         let next = kills.map(|at| Duration::from_micros(at.saturating_sub(now)));
         next.fold(ITERATION, Duration::min)
     }
 
-    /// Kills the hosts that have not ended in time after SIGTERM.
+    /// Kills the hosts that have not exited in time after SIGTERM.
     fn kill_overdue(&mut self) {
         let now = self.peers.now();
         for host in 0..self.scenario.hosts {
@@ -229,7 +237,7 @@
         }
     }
 
-    /// Queries the membership tables of hosts, one after the other.
+    /// Queries the membership tables of hosts in turn, as far as queries are due.
     fn query_memberships(&mut self) {
         let Some(NextQuery { mut host, mut at }) = self.next_query else {
             return;
@@ -240,7 +248,7 @@
             if at > now {
                 break;
             }
-            if self.processes.running(host) && self.scenario.has_membership(host) {
+            if self.processes.is_running(host) && self.scenario.has_membership(host) {
                 self.peers.query_membership(host);
             }
             host = (host + 1) % self.scenario.hosts;
@@ -249,14 +257,14 @@
         self.next_query = Some(NextQuery { host, at });
     }
 
-    /// Runs until a time of the run.
+    /// Runs until a given time since the start of the run.
     pub fn run_until(&mut self, time: Micros) {
         while self.peers.now() < time {
             self.run_once();
         }
     }
 
-    /// Runs until a condition holds, for so long at most. Returns whether it does.
+    /// Runs until a condition holds or the timeout expires. Returns whether the condition holds.
     pub fn wait_for(
         &mut self,
         timeout: Duration,
@@ -274,10 +282,10 @@
         }
     }
 
-    /// Applies a fault, or ends one.
+    /// Injects a fault, or ends it.
     ///
     /// # Errors
-    /// A process can't be started or configured, or a socket can't be opened.
+    /// A process cannot be started or configured, or a socket cannot be opened.
     fn apply(&mut self, fault: &ScheduledFault) -> Result<(), TestbedError> {
         match fault.action {
             FaultAction::KillHosts(hosts) => self.hosts(hosts).for_each(|host| self.kill(host)),
@@ -336,14 +344,14 @@
         range.below(self.scenario.nodes)
     }
 
-    /// Reloads a host's configuration with the second discovery service in it.
+    /// Reloads a host's configuration, changed to the second discovery service.
     fn redirect(&mut self, host: u32) -> Result<(), TestbedError> {
-        self.lists[host as usize] = 1;
+        self.discovery_services[host as usize] = 1;
         let config = self.draw_config(host);
         self.processes.reload(host, &config)
     }
 
-    /// Starts another node of the same shard, and drains this one.
+    /// Adds another node of the same shard, which starts cold, and drains this one.
     fn replace_node(&mut self, node: u32) -> Result<(), TestbedError> {
         let entry = self.peers.listed_node(node);
         self.peers.add_node(entry.shard, true)?;
@@ -357,7 +365,8 @@
         Ok(())
     }
 
-    /// Ends the run: clients send no more, requests in flight get their responses, and hosts are terminated.
+    /// Ends the run: stops clients, waits for the responses to requests in flight, terminates the hosts, and audits the
+    /// run.
     pub fn finish(mut self) -> Outcome {
         self.peers.set_clients_active(false);
         self.wait_for(DRAIN_TIMEOUT, |testbed| testbed.peers.in_flight() == 0);
@@ -395,12 +404,14 @@
     fn terminate_all(&mut self) {
         let hosts = 0..self.scenario.hosts;
         hosts.clone().for_each(|host| self.terminate(host));
-        let all_ended =
-            |testbed: &mut Testbed| !hosts.clone().any(|host| testbed.processes.running(host));
-        if !self.wait_for(DRAIN_TIMEOUT, all_ended) {
-            let left = hosts.filter(|host| self.processes.running(*host)).count();
+        let all_exited =
+            |testbed: &mut Testbed| !hosts.clone().any(|host| testbed.processes.is_running(host));
+        if !self.wait_for(DRAIN_TIMEOUT, all_exited) {
+            let remaining = hosts
+                .filter(|host| self.processes.is_running(*host))
+                .count();
             self.crashed
-                .push(format!("{left} hosts did not end when told to"));
+                .push(format!("{remaining} hosts did not exit after SIGTERM"));
         }
     }
 }
--- a/crates/testbed/tests/fleet/membership.rs
+++ b/crates/testbed/tests/fleet/membership.rs
@@ -370,7 +370,7 @@
             testbed.terminate(host);
         }
         wait_for(&mut testbed, "both have ended", |testbed| {
-            !testbed.processes.running(pair) && !testbed.processes.running(pair + 1)
+            !testbed.processes.is_running(pair) && !testbed.processes.is_running(pair + 1)
         });
         if pair == 2 {
             partition(&mut testbed, 8, |a, b| a % 2 != b % 2);
--- a/crates/testbed/tests/fleet_model/pins.rs
+++ b/crates/testbed/tests/fleet_model/pins.rs
@@ -162,7 +162,7 @@
             addresses: Addresses::new(9),
             host,
             name_number: host + 1,
-            list: 1,
+            discovery_service: 1,
             seed: 0xabc,
             initial_list: known,
         };
