--- a/crates/testbed/src/benchmark.rs
+++ b/crates/testbed/src/benchmark.rs
@@ -1,4 +1,4 @@
-//! Benchmark: clients at a node directly, beside clients through a host to the same node, in turn within one run.
+//! Benchmark that compares clients of a node with clients that reach the same node through a host, in alternate phases.
 mod clients;
 mod process_figures;
 mod report;
@@ -16,29 +16,34 @@
 use std::time::{Duration, Instant};
 
 const VOLUME_BLOCKS: u64 = 1 << 16;
+/// iSCSI target name of the host.
 const GATEWAY_TARGET: &str = "iqn.2026-12.example.lab:gateway";
+/// iSCSI target name of the node.
 const NODE_TARGET: &str = "iqn.2026-12.example.lab:node0";
 const PORT: u16 = 3260;
-/// Number of the first idle client, above those of the phases.
+/// Index of the first idle client, above those of the clients of phases.
 const FIRST_IDLE_CLIENT: u32 = 1000;
+/// Time in which a started host must accept connections.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
-const START_POLL: Duration = Duration::from_millis(20);
+/// Pause between two attempts to connect to a starting host.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Options of the benchmark.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Options {
-    /// Seconds of each phase
+    /// Duration of each phase in seconds
     #[arg(long, default_value_t = 2)]
     seconds: u64,
-    /// Rounds of direct and through the host in turn
+    /// Number of rounds, each with phases directly at the node and through the host
     #[arg(long, default_value_t = 3)]
     rounds: u32,
-    /// Connections and commands in flight on each, for the rate
+    /// Connections in phases that measure the rate
     #[arg(long, default_value_t = 2)]
     connections: u32,
+    /// Commands in flight on each connection in phases that measure the rate
     #[arg(long, default_value_t = 16)]
     depth: usize,
-    /// Idle connections whose memory is measured
+    /// Number of idle connections whose memory is measured
     #[arg(long, default_value_t = 1000)]
     idle: u32,
     #[arg(long, default_value_t = 1)]
@@ -73,7 +78,7 @@
         name: GATEWAY_TARGET,
     };
     let mut measurements = Measurements::default();
-    // Concurrency windows open first.
+    // Warms the host up: its concurrency windows grow to the load before the first measurement.
     clients::phase(through_host, options, options.connections, options.depth, 1)?;
     for _ in 0..options.rounds {
         measure_round(options, &host, direct, through_host, &mut measurements)?;
@@ -83,7 +88,7 @@
     Ok(measurements.table(options))
 }
 
-/// A loopback address of this process's own.
+/// Returns a loopback address that only this process uses.
 pub(crate) fn address(last: u8) -> SocketAddr {
     let n = std::process::id();
     SocketAddr::from(([127, 16 + (n >> 8) as u8 % 200, n as u8, last], PORT))
@@ -105,12 +110,12 @@
         if began.elapsed() > START_TIMEOUT {
             return Err(RunError::HostNotListening);
         }
-        std::thread::sleep(START_POLL);
+        std::thread::sleep(START_POLL_INTERVAL);
     }
     Ok(process)
 }
 
-/// Measures one command in flight and many, each directly and through the host.
+/// Measures phases with one command in flight and with many, each directly at the node and through the host.
 fn measure_round(
     options: &Options,
     host: &KilledOnDrop,
@@ -168,7 +173,7 @@
     )
 }
 
-/// The median of some values; 0 without any.
+/// Returns the median of the values, or 0 without values.
 pub(crate) fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/testbed/src/benchmark/clients.rs
+++ b/crates/testbed/src/benchmark/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that keep commands in flight for the seconds of a phase.
+//! Clients that keep commands in flight during a phase.
 use super::{Options, VOLUME_BLOCKS};
 use crate::blocking_client::{BlockingClient, ClientError};
 use crate::error::RunError;
@@ -11,15 +11,16 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Blocks of one command: 4 KiB.
+/// Number of blocks of one command: 4 KiB.
 pub(crate) const BLOCKS: u32 = 8;
-/// Part of the commands that write.
+/// Fraction of commands that are writes.
 const WRITE_FRACTION: f64 = 0.3;
-/// Largest latency of the histogram in nanoseconds, and its significant digits.
+/// Largest latency that histograms distinguish, in nanoseconds.
 const MAX_LATENCY_NS: u64 = 60_000_000_000;
+/// Significant decimal digits of latencies in histograms.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// A target that clients log in to.
+/// iSCSI target that clients log in to.
 #[derive(Clone, Copy)]
 pub(super) struct Target {
     pub(super) address: SocketAddr,
@@ -32,21 +33,23 @@
     }
 }
 
-/// What one phase measured.
+/// Measurements of one phase.
 pub(super) struct Phase {
-    /// Commands a second that completed well.
+    /// Commands that completed with status GOOD, per second.
     pub(super) rate: f64,
-    /// Their latencies in nanoseconds.
+    /// Latencies of commands that completed with status GOOD, in nanoseconds.
     pub(super) latencies: Histogram<u64>,
+    /// Number of commands that completed with another status.
     pub(super) rejected: u64,
 }
 
-/// Latencies in nanoseconds, up to a minute.
+/// Returns an empty histogram of latencies in nanoseconds, up to one minute.
 pub(crate) fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_NS, HISTOGRAM_DIGITS).expect("the bounds are sound")
+    Histogram::new_with_bounds(1, MAX_LATENCY_NS, HISTOGRAM_DIGITS)
+        .expect("the histogram bounds are valid")
 }
 
-/// Runs a phase with this many connections and commands in flight on each.
+/// Runs a phase with `connections` connections and `depth` commands in flight on each.
 pub(super) fn phase(
     target: Target,
     options: &Options,
@@ -66,7 +69,9 @@
         rejected: 0,
     };
     for thread in threads {
-        let phase = thread.join().map_err(|_| RunError::Thread("a client"))??;
+        let phase = thread
+            .join()
+            .map_err(|_| RunError::ThreadPanicked("client thread"))??;
         all.rate += phase.rate;
         all.rejected += phase.rejected;
         all.latencies
@@ -107,11 +112,11 @@
     })
 }
 
-/// One connection of a phase, and what was measured on it.
+/// Connection of a phase, and the measurements of its commands.
 struct Connection {
     client: BlockingClient,
     rng: Pcg64Mcg,
-    /// When the command of each tag was sent; none where none is in flight.
+    /// Time at which the command with each tag was sent; `None` if no command with this tag is in flight.
     sent_at: Vec<Option<Instant>>,
     latencies: Histogram<u64>,
     completed: u64,
@@ -123,7 +128,7 @@
         self.sent_at.iter().any(Option::is_some)
     }
 
-    /// Sends commands until all tags are in flight, or the host takes no more.
+    /// Sends commands until all tags are in flight or the target's command window is full.
     fn fill(&mut self) {
         for tag in 0..self.sent_at.len() {
             if self.sent_at[tag].is_none() && self.client.conn.can_send() {
@@ -133,7 +138,7 @@
         }
     }
 
-    /// Sends a read, or a write of an id, of random blocks.
+    /// Sends a read or write of random blocks.
     fn send_random(&mut self, tag: u32) {
         let lba = self.rng.random_range(0..VOLUME_BLOCKS / u64::from(BLOCKS)) * u64::from(BLOCKS);
         let write = self.rng.random::<f64>() < WRITE_FRACTION;
@@ -165,7 +170,7 @@
     }
 }
 
-/// Sends a read, or the write with an id, of [`BLOCKS`] blocks.
+/// Sends a read of [`BLOCKS`] blocks, or a write of them if there is a write id.
 pub(crate) fn send_command(client: &mut BlockingClient, tag: u32, lba: u64, write_id: Option<u64>) {
     let cdb = scsi::read_or_write_16(write_id.is_some(), lba, BLOCKS, 0);
     let read_len = BLOCKS as usize * block::SIZE;
--- a/crates/testbed/src/benchmark/process_figures.rs
+++ b/crates/testbed/src/benchmark/process_figures.rs
@@ -1,10 +1,11 @@
-//! What the operating system reports of a process (`proc(5)`).
+//! CPU time and memory of a process, as the operating system reports them (`proc(5)`).
 use crate::error::RunError;
 
-/// Ticks a second of the times in `/proc/PID/stat`.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields behind the name in `/proc/PID/stat`.
+/// Index of the user time among the fields after the process name in `/proc/PID/stat`.
 const USER_TIME_FIELD: usize = 11;
+/// Index of the system time among the fields after the process name in `/proc/PID/stat`.
 const SYSTEM_TIME_FIELD: usize = 12;
 
 fn read(pid: u32, name: &str) -> Result<String, RunError> {
@@ -12,10 +13,10 @@
     std::fs::read_to_string(&path).map_err(RunError::io(path))
 }
 
-/// User and system time of a process, in seconds.
+/// Returns the user and system time of a process, in seconds.
 pub(super) fn cpu_seconds(pid: u32) -> Result<f64, RunError> {
     let text = read(pid, "stat")?;
-    // The name in brackets may contain blanks; the fields behind it do not.
+    // The process name in parentheses may contain spaces; the fields after it contain none.
     let fields = text.rsplit(')').next().unwrap_or_default();
     let ticks = |n: usize| {
         fields
@@ -27,13 +28,13 @@
     Ok((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) / TICKS_PER_SECOND)
 }
 
-/// Resident memory of a process in KiB.
+/// Returns the resident memory of a process, in KiB.
 pub(super) fn resident_kib(pid: u32) -> Result<u64, RunError> {
     let text = read(pid, "status")?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
-    kib.ok_or(RunError::NoProcessFigure {
-        figure: "VmRSS",
+    kib.ok_or(RunError::MissingProcessMetric {
+        metric: "VmRSS",
         pid,
     })
 }
--- a/crates/testbed/src/benchmark/report.rs
+++ b/crates/testbed/src/benchmark/report.rs
@@ -1,9 +1,9 @@
-//! The benchmark's table.
+//! Table of the benchmark's results.
 use super::clients::Phase;
 use super::{Options, median};
 use std::fmt::{self, Write};
 
-/// Phases measured directly, each beside one through the host.
+/// Pairs of phases, one directly at the node and one through the host.
 #[derive(Default)]
 pub(super) struct Pairs(Vec<Pair>);
 
@@ -20,21 +20,21 @@
         });
     }
 
-    /// Medians over the rounds of a figure, directly and through the host.
-    fn medians(&self, figure: impl Fn(&Phase) -> f64) -> [f64; 2] {
-        let direct = median(self.0.iter().map(|pair| figure(&pair.direct)));
+    /// Returns the medians of a metric over all rounds, directly and through the host.
+    fn medians(&self, metric: impl Fn(&Phase) -> f64) -> [f64; 2] {
+        let direct = median(self.0.iter().map(|pair| metric(&pair.direct)));
         [
             direct,
-            median(self.0.iter().map(|pair| figure(&pair.through_host))),
+            median(self.0.iter().map(|pair| metric(&pair.through_host))),
         ]
     }
 
-    /// Median over the rounds of a figure of both phases of a pair.
-    fn median_of_pairs(&self, figure: impl Fn(&Phase, &Phase) -> f64) -> f64 {
+    /// Returns the median over all rounds of a metric that is computed from both phases of a pair.
+    fn median_of_pairs(&self, metric: impl Fn(&Phase, &Phase) -> f64) -> f64 {
         median(
             self.0
                 .iter()
-                .map(|pair| figure(&pair.direct, &pair.through_host)),
+                .map(|pair| metric(&pair.direct, &pair.through_host)),
         )
     }
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// What all rounds measured.
+/// Measurements of all rounds.
 #[derive(Default)]
 pub(super) struct Measurements {
-    /// One command in flight.
+    /// Phases with one command in flight.
     pub(super) single: Pairs,
-    /// Many commands in flight.
+    /// Phases with many commands in flight.
     pub(super) many: Pairs,
     pub(super) host_cpu_seconds: f64,
     pub(super) host_commands: f64,
@@ -64,7 +64,7 @@
     pub(super) fn table(&self, options: &Options) -> String {
         let mut out = String::new();
         self.write(&mut out, options)
-            .expect("a string can be written to");
+            .expect("writing to a string does not fail");
         out
     }
 
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a run of the testbed could not go on. What hosts do wrong is no error: the audit reports it.
+//! Errors that end a run of the testbed. Wrong behaviour of hosts is not among them: the audit reports it.
 use mallowseam_control_protocol::RequestError;
 use mallowseam_gateway::blocking_client::ClientError;
 use mallowseam_iscsi::scsi::Sense;
@@ -11,23 +11,23 @@
 /// A failure of the testbed itself.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A script or a configuration has mistakes.
+    /// A script or a configuration is invalid.
     #[error(transparent)]
     Config(#[from] Diagnostics),
     /// A file, directory, socket or thread of the testbed failed.
     #[error("{subject}: {source}")]
     Io {
-        /// What failed.
+        /// The file, directory, socket or thread that failed.
         subject: String,
-        /// Why it failed.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// A host does not listen in time.
-    #[error("the host does not listen")]
+    /// A host does not accept connections in time.
+    #[error("host accepts no connections within its start timeout")]
     HostNotListening,
     /// A control socket does not answer in time.
-    #[error("{} does not answer", .0.display())]
-    NoControlSocket(PathBuf),
+    #[error("control socket {} does not answer", .0.display())]
+    ControlSocketTimeout(PathBuf),
     /// A client's session failed.
     #[error(transparent)]
     Client(#[from] ClientError),
@@ -35,43 +35,43 @@
     #[error(transparent)]
     Request(#[from] RequestError),
     /// A command that has to succeed was rejected or failed.
-    #[error("a command came back with status {status:#x}, sense {sense:?}")]
+    #[error("SCSI command failed with status {status:#x}, sense {sense:?}")]
     CommandFailed {
         /// SCSI status code.
         status: u8,
-        /// Sense data, where there is any.
+        /// Sense data, if the response has any.
         sense: Option<Sense>,
     },
     /// A thread of the testbed panicked.
-    #[error("{0} failed")]
-    Thread(&'static str),
-    /// The operating system does not report a figure of a process.
-    #[error("no {figure} of process {pid}")]
-    NoProcessFigure {
-        /// Name of the figure.
-        figure: &'static str,
-        /// The process.
+    #[error("{0} panicked")]
+    ThreadPanicked(&'static str),
+    /// The operating system does not report a metric of a process.
+    #[error("operating system reports no {metric} for process {pid}")]
+    MissingProcessMetric {
+        /// Name of the metric.
+        metric: &'static str,
+        /// Id of the process.
         pid: u32,
     },
     /// The snapshot catalog's store failed.
     #[error(transparent)]
     Catalog(#[from] mallowseam_snapshot_catalog::Error),
-    /// The snapshot catalog rejects a change.
+    /// The snapshot catalog rejected a change.
     #[error(transparent)]
     CatalogChange(#[from] mallowseam_cow::tree::ChangeError),
-    /// A message of the catalog service cannot be read.
-    #[error("a message of the catalog: {0}")]
+    /// A message of the catalog service is not valid JSON of its type.
+    #[error("invalid message of the catalog service: {0}")]
     Message(#[from] serde_json::Error),
-    /// Shares cannot be written into a configuration.
+    /// The configuration lacks a volume to which shares are to be applied.
     #[error(transparent)]
     Shares(#[from] mallowseam_settings::edit::UnknownVolumes),
-    /// A placement problem has mistakes.
+    /// A placement problem is invalid.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Placement(Vec<ProblemError>),
 }
 
 impl RunError {
-    /// Says what an input or output error concerns.
+    /// Returns a function that wraps an I/O error together with the name of what failed.
     pub(crate) fn io(subject: impl Into<String>) -> impl FnOnce(io::Error) -> RunError {
         let subject = subject.into();
         move |source| RunError::Io { subject, source }
--- a/crates/testbed/src/placement_day.rs
+++ b/crates/testbed/src/placement_day.rs
@@ -1,5 +1,5 @@
-//! One day through real hosts with even weights, with the weights of its script, and with tuned ones, on the same
-//! seeds: what each gains.
+//! Compares the gain of a scripted day on real hosts under even weights, the weights of its script, and tuned weights,
+//! with the same seeds.
 use crate::error::RunError;
 use crate::process::Program;
 use crate::rehearsal::{self, Outcome};
@@ -14,10 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const SCRIPT: &str = builtin::DUE_DATE;
-/// Gain of what exceeds a reserve, as a part of the gain within it.
-const BEYOND_RESERVE: f64 = 0.35;
+/// Gain of a command beyond its volume's reserved rate, as a fraction of the gain within it.
+const GAIN_FRACTION_BEYOND_RESERVE: f64 = 0.35;
 
-/// Where the weights of volumes come from.
+/// Source of the weights of volumes.
 #[derive(Clone, Copy, PartialEq)]
 enum Weights {
     Even,
@@ -37,30 +37,30 @@
     }
 }
 
-/// What a day came to.
+/// Result of one day.
 struct DayResult {
     gain: f64,
-    /// The least part of a volume's commands that completed in time.
+    /// Smallest fraction of any volume's commands that completed in time.
     worst_fraction: f64,
-    /// Name of that volume.
+    /// Name of the volume with the smallest fraction.
     worst_volume: String,
-    /// Of the commands within reserves, second by second, those that completed in time.
+    /// Fraction of the commands within reserved rates, second by second, that completed in time.
     reserve_fraction: f64,
     passed: bool,
 }
 
-/// The table of all days, and whether all rules held.
+/// Table of all days, and whether all rules held.
 pub struct Report {
-    /// The table, without a line feed behind it.
+    /// Table without a trailing line feed.
     pub table: String,
     /// Whether every day kept all rules.
     pub passed: bool,
 }
 
-/// Plays the day with each kind of weights for each seed.
+/// Plays the day with each set of weights for each seed.
 ///
 /// # Errors
-/// A stand-in or process cannot be started, or the day cannot be written as a placement problem.
+/// A stand-in or process cannot be started, or the scenario is no valid placement problem.
 pub fn run(first_seed: u64, seeds: u64, program: &Program) -> Result<Report, RunError> {
     let mut scenario = script::parse("due-date", SCRIPT)?;
     let config = rehearsal::shared_config(&scenario)?;
@@ -120,7 +120,7 @@
     )
 }
 
-/// Each volume's share; its reserved rate stays.
+/// Returns each volume's share: the weight is replaced, and the reserved rate stays.
 fn shares(
     scenario: &Scenario,
     config: &GatewayConfig,
@@ -134,7 +134,7 @@
         let weight = match weights {
             Weights::Even => 1,
             Weights::Script => plan.weight as u64,
-            Weights::Tuned => tuned[index.expect("the problem has every volume")],
+            Weights::Tuned => tuned[index.expect("the placement problem contains every volume")],
         };
         let reserved_milliunits = milliunits(plan.reserved_rate);
         Share {
@@ -150,7 +150,7 @@
     (rate * 1000.0) as u64
 }
 
-/// The day as a placement problem: the nodes' capacity, and what each volume requests in its own surge.
+/// Returns the day as a placement problem: the nodes' capacity, and the rate that each volume requests in its surge.
 fn placement_problem(
     scenario: &Scenario,
     config: &GatewayConfig,
@@ -198,7 +198,7 @@
     }
 }
 
-/// Commands of a volume, in all or in one second.
+/// Number of a volume's commands, in total or in one second.
 #[derive(Clone, Copy, Default)]
 struct Count {
     sent: f64,
@@ -211,8 +211,8 @@
     }
 }
 
-/// Evaluates a day by its clients' commands: one in time gains its class's weight times its plan's factor, all of it
-/// within the reserve of its volume in that second, and a part beyond.
+/// Evaluates a day by its clients' commands. A command in time gains its I/O class's priority weight times its plan's
+/// priority factor: all of it within the volume's reserved rate in that second, a fraction of it beyond.
 fn evaluate(config: &GatewayConfig, outcome: &Outcome) -> DayResult {
     let mut seconds: BTreeMap<(usize, u64), Count> = BTreeMap::new();
     let mut volumes = vec![Count::default(); config.volumes.len()];
@@ -225,15 +225,16 @@
         second.sent += 1.0;
         volumes[command.volume].sent += 1.0;
         if command.in_time {
-            let tier = if second.in_time < plan.reserved_rate {
+            let gain_factor = if second.in_time < plan.reserved_rate {
                 1.0
             } else {
-                BEYOND_RESERVE
+                GAIN_FRACTION_BEYOND_RESERVE
             };
             second.in_time += 1.0;
             volumes[command.volume].in_time += 1.0;
-            gain +=
-                config.io_classes[command.io_class].priority_weight * plan.priority_factor * tier;
+            gain += config.io_classes[command.io_class].priority_weight
+                * plan.priority_factor
+                * gain_factor;
         }
     }
     let by_fraction = |a: &usize, b: &usize| {
@@ -251,16 +252,16 @@
     }
 }
 
-/// Of the commands within reserves, second by second, the part that completed in time.
+/// Returns the fraction of the commands within reserved rates, second by second, that completed in time.
 fn reserve_fraction(config: &GatewayConfig, seconds: &BTreeMap<(usize, u64), Count>) -> f64 {
-    let mut due = 0.0;
-    let mut completed = 0.0;
+    let mut total_reserved = 0.0;
+    let mut completed_reserved = 0.0;
     for ((volume, _), count) in seconds {
         let reserved = count
             .sent
             .min(config.plans[config.volumes[*volume].plan].reserved_rate);
-        due += reserved;
-        completed += count.in_time.min(reserved);
+        total_reserved += reserved;
+        completed_reserved += count.in_time.min(reserved);
     }
-    completed / f64::max(due, 1.0)
+    completed_reserved / f64::max(total_reserved, 1.0)
 }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,21 +1,21 @@
-//! Processes of the gateway: how they are started, and how they end.
+//! Starts, signals and ends processes of the gateway.
 use crate::error::RunError;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// How a process of the gateway is started: a program, and its arguments before the subcommand.
+/// Command that starts a process of the gateway: an executable, and its arguments before the subcommand.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The executable file.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments before the subcommand.
+    /// Arguments that precede the subcommand.
     pub args: Vec<String>,
 }
 
 impl Program {
-    /// A command line of this program, without standard input.
+    /// Returns a command that runs this program without standard input.
     pub(crate) fn command(&self) -> Command {
         let mut command = Command::new(&self.path);
         command.args(&self.args).stdin(Stdio::null());
@@ -23,11 +23,11 @@
     }
 }
 
-/// A process that is killed when this is dropped.
+/// Process that is killed when its handle is dropped.
 pub(crate) struct KilledOnDrop(Child);
 
 impl KilledOnDrop {
-    /// Starts a subcommand on a configuration file.
+    /// Starts a process with a subcommand and a configuration file.
     pub(crate) fn start(
         program: &Program,
         subcommand: &[&str],
@@ -54,7 +54,7 @@
     }
 }
 
-/// Kills a process, if it runs; whether it did.
+/// Kills a process, if one runs. Returns whether one did.
 pub(crate) fn kill_now(child: &mut Option<Child>) -> bool {
     let Some(mut child) = child.take() else {
         return false;
@@ -64,12 +64,12 @@
     true
 }
 
-/// Sends a process a signal. One that has ended already gets none.
+/// Sends a signal to a process. Does nothing if the process has already ended.
 pub(crate) fn send_signal(child: &Child, signal: Signal) {
     let _ = kill(Pid::from_raw(child.id() as i32), signal);
 }
 
-/// Terminates a process and waits for it; whether it ended with code 0. True where none runs.
+/// Sends SIGTERM to a process and waits for its end. Returns whether it exited with code 0, or whether none runs.
 pub(crate) fn terminate(child: &mut Option<Child>) -> bool {
     let Some(mut child) = child.take() else {
         return true;
--- a/crates/testbed/src/snapshot_benchmark.rs
+++ b/crates/testbed/src/snapshot_benchmark.rs
@@ -1,5 +1,5 @@
-//! Benchmark of snapshots: writes around cuts, first writes and reads behind few and many snapshots over sockets, and
-//! the catalog at sizes that need no sockets.
+//! Benchmark of snapshots. One part measures over sockets: writes while snapshots are taken, first writes after them, and
+//! reads, with few and with many snapshots. The other part measures the catalog alone, at larger sizes.
 mod catalog;
 mod sockets;
 
@@ -9,23 +9,23 @@
 /// Options of the benchmark.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Options {
-    /// Snapshots of the volume, one measurement for each
+    /// Numbers of snapshots of the volume, each measured in turn
     #[arg(long, value_delimiter = ',', default_value = "1,10,1000")]
     snapshots: Vec<u32>,
-    /// Seconds of each phase
+    /// Duration of each phase in seconds
     #[arg(long, default_value_t = 3)]
     seconds: u64,
-    /// Milliseconds between two cuts
+    /// Milliseconds between two snapshots
     #[arg(long, default_value_t = 300)]
     every: u64,
-    /// Writes in flight at once
+    /// Number of writes in flight
     #[arg(long, default_value_t = 4)]
     depth: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Runs both parts and returns their tables.
+/// Runs both parts of the benchmark and returns their results as text.
 ///
 /// # Errors
 /// A process or stand-in cannot be started, a command fails, or the catalog's store fails.
--- a/crates/testbed/src/snapshot_benchmark/catalog.rs
+++ b/crates/testbed/src/snapshot_benchmark/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog at sizes that need no sockets.
+//! Measurements of the snapshot catalog alone, without sockets, at large sizes.
 use crate::benchmark::median;
 use crate::error::RunError;
 use mallowseam_cow::messages::{ToHost, full_tree_messages};
@@ -8,20 +8,23 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Extents of a volume of 1 TiB in extents of 1 MiB.
+/// Number of extents of a 1 TiB volume with extents of 1 MiB.
 const EXTENTS: u32 = 1 << 20;
-/// Nodes over which extents are placed.
+/// Number of nodes over which extents are placed.
 const NODES: u32 = 6;
-/// Sparse volume: extents written, the distance between them, and those written again behind each snapshot.
+/// Number of extents written in the sparse volume.
 const SPARSE_EXTENTS: u32 = 1_000;
+/// Distance between two written extents of the sparse volume, in extents.
 const SPARSE_STRIDE: u32 = 1_000;
+/// Number of extents of the sparse volume that are written again after each snapshot.
 const REWRITTEN_EXTENTS: u32 = 100;
-/// Cuts and first writes of which the median is taken.
+/// Number of snapshots and of first writes of which the median is taken.
 const SAMPLES: u32 = 20;
-/// Number of the first snapshot of a sample, above all others.
-const FIRST_SAMPLE: u32 = 1_000_000;
-/// Changes of one transaction.
-const BATCH: u32 = 65_536;
+/// Number in the name of the first measured snapshot, above those of the other snapshots.
+const FIRST_SAMPLE_NUMBER: u32 = 1_000_000;
+/// Number of extents placed in one transaction.
+const EXTENTS_PER_COMMIT: u32 = 65_536;
+/// Name of the volume.
 const VOLUME: &str = "a";
 
 fn open(dir: &Path) -> Result<Catalog, RunError> {
@@ -37,8 +40,8 @@
 }
 
 fn store_bytes(dir: &Path) -> Result<u64, RunError> {
-    let metadata =
-        std::fs::metadata(store_path(dir)).map_err(RunError::io("the catalog's store"))?;
+    let metadata = std::fs::metadata(store_path(dir))
+        .map_err(RunError::io("store of the snapshot catalog"))?;
     Ok(metadata.len())
 }
 
@@ -54,7 +57,7 @@
     Ok(())
 }
 
-/// Places an extent in the head's layer, as a first write does.
+/// Stages the changes of a first write to an extent: allocates a slot in the head's layer and places the extent there.
 fn place_extent(catalog: &mut Catalog, extent: u32) -> Result<(), RunError> {
     let layer = catalog.tree().branches[VOLUME].head;
     let slot = catalog.tree().layers[&layer].next_slot;
@@ -76,7 +79,8 @@
     Ok(())
 }
 
-fn cut(catalog: &mut Catalog, number: u32) -> Result<(), RunError> {
+/// Stages all changes of a snapshot: freezes the head, closes its layers at their nodes, and creates the snapshot.
+fn stage_snapshot(catalog: &mut Catalog, number: u32) -> Result<(), RunError> {
     let layer = catalog.tree().branches[VOLUME].head;
     catalog.stage(Change::HeadFrozen {
         branch: VOLUME.into(),
@@ -92,29 +96,29 @@
     Ok(())
 }
 
-/// Measures a volume of which a thousand extents are written, and a hundred again behind each snapshot.
+/// Measures a volume of which a thousand extents are written, and a hundred of them again after each snapshot.
 pub(super) fn measure_sparse(snapshots: u32) -> Result<String, RunError> {
     let dir = temporary_directory()?;
     let mut catalog = open(dir.path())?;
     create_volume(&mut catalog)?;
     (0..SPARSE_EXTENTS).try_for_each(|e| place_extent(&mut catalog, e * SPARSE_STRIDE))?;
     for s in 0..snapshots {
-        cut(&mut catalog, s)?;
+        stage_snapshot(&mut catalog, s)?;
         (0..REWRITTEN_EXTENTS)
             .try_for_each(|e| place_extent(&mut catalog, (e * 10 + s % 10) * SPARSE_STRIDE))?;
     }
     catalog.commit()?;
-    let mut cuts = Vec::new();
-    let mut first_writes = Vec::new();
+    let mut snapshot_times = Vec::new();
+    let mut first_write_times = Vec::new();
     for s in 0..SAMPLES {
         let began = Instant::now();
-        cut(&mut catalog, FIRST_SAMPLE + s)?;
+        stage_snapshot(&mut catalog, FIRST_SAMPLE_NUMBER + s)?;
         catalog.commit()?;
-        cuts.push(milliseconds_since(began));
+        snapshot_times.push(milliseconds_since(began));
         let began = Instant::now();
         place_extent(&mut catalog, s * SPARSE_STRIDE)?;
         catalog.commit()?;
-        first_writes.push(milliseconds_since(began));
+        first_write_times.push(milliseconds_since(began));
     }
     let locations: usize = catalog
         .tree()
@@ -126,53 +130,55 @@
     drop(catalog);
     let began = Instant::now();
     let _catalog = open(dir.path())?;
-    let opened = milliseconds_since(began);
-    let cut = median(cuts.into_iter());
-    let first_write = median(first_writes.into_iter());
+    let open_ms = milliseconds_since(began);
+    let snapshot_ms = median(snapshot_times.into_iter());
+    let first_write_ms = median(first_write_times.into_iter());
     Ok(format!(
-        "catalog, 1 TiB sparse, {snapshots} snapshots: {locations} locations, {kib} KiB, opened in {opened:.1} ms; \
-         committed: a cut in {cut:.2} ms, a first write in {first_write:.2} ms (medians of {SAMPLES})\n"
+        "catalog, 1 TiB sparse, {snapshots} snapshots: {locations} locations, {kib} KiB, opened in {open_ms:.1} ms; \
+         committed: a cut in {snapshot_ms:.2} ms, a first write in {first_write_ms:.2} ms (medians of {SAMPLES})\n"
     ))
 }
 
-/// Measures a volume written in full: what the catalog takes, and what a host takes to replicate it.
+/// Measures a volume that is written in full: size and times of the catalog, and the time that a host takes to replicate
+/// it.
 pub(super) fn measure_full() -> Result<String, RunError> {
     let dir = temporary_directory()?;
     fill(dir.path())?;
     let mib = store_bytes(dir.path())? >> 20;
     let began = Instant::now();
     let mut catalog = open(dir.path())?;
-    let opened = milliseconds_since(began);
+    let open_ms = milliseconds_since(began);
     let began = Instant::now();
-    cut(&mut catalog, 0)?;
+    stage_snapshot(&mut catalog, 0)?;
     catalog.commit()?;
-    let cut = milliseconds_since(began);
+    let snapshot_ms = milliseconds_since(began);
     let replication = replicate(&catalog)?;
     let began = Instant::now();
     catalog.stage(Change::SnapshotDeleted {
         snapshot: format!("{VOLUME}@s0"),
     })?;
     catalog.commit()?;
-    let deleted = milliseconds_since(began);
+    let deletion_ms = milliseconds_since(began);
     let Replication {
         total_ms,
         longest_ms,
         bytes,
     } = replication;
     Ok(format!(
-        "catalog, 1 TiB written in full ({EXTENTS} locations): {mib} MiB, opened in {opened:.0} ms; a cut committed in \
-         {cut:.2} ms, a snapshot deleted in {deleted:.2} ms; a host replicates it in {total_ms:.0} ms, \
+        "catalog, 1 TiB written in full ({EXTENTS} locations): {mib} MiB, opened in {open_ms:.0} ms; a cut committed in \
+         {snapshot_ms:.2} ms, a snapshot deleted in {deletion_ms:.2} ms; a host replicates it in {total_ms:.0} ms, \
          {longest_ms:.2} ms at most at once, {} MiB on the wire\n",
         bytes >> 20
     ))
 }
 
+/// Places all extents of the volume.
 fn fill(dir: &Path) -> Result<(), RunError> {
     let mut catalog = open(dir)?;
     create_volume(&mut catalog)?;
     for extent in 0..EXTENTS {
         place_extent(&mut catalog, extent)?;
-        if extent % BATCH == BATCH - 1 {
+        if extent % EXTENTS_PER_COMMIT == EXTENTS_PER_COMMIT - 1 {
             catalog.commit()?;
         }
     }
@@ -180,10 +186,10 @@
     Ok(())
 }
 
-/// What a host takes to read the whole tree.
+/// Cost of replicating the whole tree at a host.
 struct Replication {
     total_ms: f64,
-    /// The longest time for one message.
+    /// Longest time for one message, in milliseconds.
     longest_ms: f64,
     bytes: usize,
 }
