--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! Subcommands and their arguments.
+//! Subcommands of the testbed and their arguments.
 mod fleet_rehearsal;
 mod models;
 mod placement;
@@ -15,10 +15,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code of a command that could not be carried out.
+/// Exit code of a command that failed before it had a result.
 const EXIT_ERROR: u8 = 2;
 
-/// What a command found.
+/// Result of a command: whether all its checks passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finding {
     Passed,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A command's finding, or why it could not be carried out.
+/// Finding of a command, or the error that ended it.
 type CommandResult = Result<Finding, Box<dyn Error>>;
 
 #[derive(Parser)]
@@ -51,45 +51,45 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Fifteen seconds of three hosts, six nodes and forty clients on loopback, with faults
+    /// Play fifteen seconds of three hosts, six nodes and forty clients on loopback, with faults
     Demo {
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Play a scenario script through real hosts and audit it by what passed on the sockets
+    /// Play a scenario script through real hosts, and audit the traffic on their sockets
     Rehearse(RehearseOptions),
-    /// Play short scenarios in which hosts are restarted under faults, each drawn by its seed, and audit them
+    /// Play and audit short scenarios in which hosts are restarted under faults, each drawn by its seed
     Soak(soak::SoakOptions),
-    /// Play a fleet in simulated time: the same schedulers, thousands of them
+    /// Simulate a fleet of up to thousands of hosts in simulated time, with the code that real hosts run
     Model {
         #[command(subcommand)]
         model: Model,
     },
-    /// Every order of events of a small state machine, within bounds
+    /// Check every order of events of a small state machine, within bounds
     Search {
         #[command(subcommand)]
         search: Search,
     },
-    /// Compare optimal placements with a plain enumeration on new small problems
+    /// Compare the solver's optimal placements with exhaustive enumeration on small problems drawn by seeds
     SharesCheck {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 2000)]
         count: u64,
     },
-    /// Play one day of surges with even, given and tuned weights, and compare their gains
+    /// Play one day of surges with even weights, the script's weights and tuned ones, and compare their gains
     SharesDay {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds in a row, from the first on
+        /// Number of consecutive seeds, from the first one on
         #[arg(long, default_value_t = 1)]
         seeds: u64,
     },
-    /// Compare clients at a node directly and through a host
+    /// Compare clients that access a node directly with clients that access it through a host
     Bench(benchmark::Options),
-    /// Measure what snapshots cost: writes around cuts, first writes, reads, and the catalog's size and times
+    /// Measure the cost of snapshots: writes while they are taken, first writes, reads, and the catalog's size and times
     BenchSnapshots(snapshot_benchmark::Options),
-    /// Run a host of this build (what rehearsals start)
+    /// Run the gateway of this build, as rehearsals start it
     #[command(hide = true)]
     Host {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -99,18 +99,18 @@
 
 #[derive(clap::Args)]
 struct RehearseOptions {
-    /// bad-day, month-end, tariff-night, demo, short, cold-start, cold-overload, cold-sum or fleet-storm (drawn by the seed), or
-    /// a script's file (.fleet: of a fleet)
+    /// Name of a script: bad-day, month-end, tariff-night, demo, short, cold-start, cold-overload, cold-sum or fleet-storm
+    /// (drawn by the seed); or path of a script file (with the suffix .fleet for a fleet's script)
     script: String,
-    /// How many hosts a fleet's script is played with, nodes and clients in proportion
+    /// Number of hosts that a fleet's script is scaled to, nodes and clients in proportion
     #[arg(long)]
     hosts: Option<u32>,
-    /// Of a fleet: hosts poll the list service as they did before their polls were paced by their number
+    /// For a fleet's script: hosts do not pace their polls of the discovery service by their number
     #[arg(long)]
     as_before: bool,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds in a row, from the first on
+    /// Number of consecutive seeds, from the first one on
     #[arg(long, default_value_t = 1)]
     seeds: u64,
     #[arg(long)]
@@ -119,15 +119,15 @@
 
 #[derive(Subcommand)]
 enum Search {
-    /// The membership protocol among three hosts: its promises in every state, and convergence in the end
+    /// Check the membership protocol among three hosts: its invariants in every state, and convergence in the end
     FleetView {
-        /// States checked from each initial state
+        /// Maximum number of states to check from each initial state
         #[arg(long, default_value_t = 200_000)]
         states: u64,
-        /// One state in so many is followed until the hosts converge
+        /// Follow one state in this many until the hosts converge
         #[arg(long, default_value_t = 20)]
         ends_every: u64,
-        /// Ticks of half a period
+        /// Number of ticks that may pass, each of half a protocol period
         #[arg(long, default_value_t = 8)]
         passes: u32,
     },
@@ -135,45 +135,45 @@
 
 #[derive(Subcommand)]
 enum Model {
-    /// The membership protocol: as built, without Lifeguard's extensions, and heartbeats to all
+    /// Compare the membership protocol as built, without Lifeguard's extensions, and heartbeats to all hosts
     FleetView(MembershipModelOptions),
-    /// All hosts start within a second, or after an outage: polls of the list service, paced and as before
+    /// Simulate paced and unpaced polls of the discovery service as all hosts start within a second or after an outage
     ColdStart(ColdStartOptions),
 }
 
 #[derive(clap::Args)]
 struct MembershipModelOptions {
-    /// How many hosts, each in turn
+    /// Numbers of hosts, simulated one after the other
     #[arg(long, value_delimiter = ',', default_value = "10,30,100,300")]
     hosts: Vec<usize>,
-    /// The protocol as built alone
+    /// Simulate only the protocol as built
     #[arg(long)]
     built: bool,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A directory for the measurements as CSV, and a sheet of plots
+    /// Directory for the measurements as CSV and a page of plots
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
 #[derive(clap::Args)]
 struct ColdStartOptions {
-    /// How many hosts, each in turn
+    /// Numbers of hosts, simulated one after the other
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "10,30,100,300,1000,3000,10000"
     )]
     hosts: Vec<u32>,
-    /// Milliseconds that a poll takes of the list service
+    /// Milliseconds that the discovery service takes to serve a poll
     #[arg(long, default_value_t = 25)]
     takes: u64,
-    /// Seconds for which the list service is down at first
+    /// Seconds that the discovery service is down from the start
     #[arg(long, default_value_t = 0)]
     down: u64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A directory for the seconds of each case as CSV, and a sheet of plots
+    /// Directory for each case's figures per second as CSV and a page of plots
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -229,7 +229,7 @@
     Ok(Finding::Passed)
 }
 
-/// This executable file, as a rehearsal starts it for its hosts.
+/// Returns the command by which a rehearsal starts this executable as a host.
 fn program() -> Program {
     let path = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("mallowseam-testbed"));
     Program {
--- a/crates/testbed/src/cli/fleet_rehearsal.rs
+++ b/crates/testbed/src/cli/fleet_rehearsal.rs
@@ -1,4 +1,4 @@
-//! `rehearse` of a fleet.
+//! Subcommand `rehearse` for the script of a fleet.
 use super::{CommandResult, Finding, RehearseOptions};
 use mallowseam_audit::membership;
 use mallowseam_scenarios::fleet::{self as scenario, IndexRange, Scenario};
@@ -7,16 +7,18 @@
 use mallowseam_testbed::fleet::{processes, testbed};
 use std::error::Error;
 
-/// A script that each seed draws anew, and its usual number of hosts.
-const STORM: &str = "fleet-storm";
-const STORM_HOSTS: u32 = 40;
+/// Name of the script whose faults are drawn by the seed.
+const RANDOM_SCRIPT: &str = "fleet-storm";
+/// Default number of hosts of the random script.
+const RANDOM_SCRIPT_HOSTS: u32 = 40;
 
-/// How the name of a file with a fleet's script ends.
+/// Suffix of files that contain a fleet's script.
 const SCRIPT_SUFFIX: &str = ".fleet";
 
-/// The text of a fleet's script, by its name or from a file; none where the name is of another kind of script.
+/// Returns the text of a fleet's script, built in or from a file, or `None` if the name is not that of a fleet's script.
+/// The text of the random script is empty, because each seed draws its own.
 pub(super) fn script_text(name: &str) -> Result<Option<String>, Box<dyn Error>> {
-    if name == STORM {
+    if name == RANDOM_SCRIPT {
         return Ok(Some(String::new()));
     }
     if let Some(text) = builtin::fleet(name) {
@@ -29,7 +31,7 @@
     Ok(Some(text))
 }
 
-/// Plays a fleet's script with some seeds in a row.
+/// Plays a fleet's script with each of the consecutive seeds.
 pub(super) fn play(text: &str, options: &RehearseOptions) -> CommandResult {
     let this = std::env::current_exe()?;
     let program = processes::Program::next_to(&this);
@@ -51,8 +53,9 @@
     seed: u64,
 ) -> Result<Scenario, Box<dyn Error>> {
     let name = &options.script;
-    if name == STORM {
-        let text = fault_schedule::random_script(options.hosts.unwrap_or(STORM_HOSTS), seed);
+    if name == RANDOM_SCRIPT {
+        let text =
+            fault_schedule::random_script(options.hosts.unwrap_or(RANDOM_SCRIPT_HOSTS), seed);
         return Ok(scenario::parse(name, &text)?);
     }
     let scenario = scenario::parse(name, text)?;
@@ -94,13 +97,13 @@
     Ok(evidence.is_empty())
 }
 
-/// Prints what a run came to, and returns the evidence against it.
+/// Prints the result of a run, and returns the evidence of violated rules.
 fn report(name: &str, scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
     if let Some(text) = outcome.compare_membership_groups(scenario) {
         println!("{text}");
     }
-    if name == STORM {
-        // Polls are many here as hosts come and go, and are not what is tried.
+    if name == RANDOM_SCRIPT {
+        // The script restarts many hosts, which causes many polls: their number is not checked.
         let mut evidence = outcome.violations();
         let membership = membership::check(
             &scenario.membership_run(),
--- a/crates/testbed/src/cli/models.rs
+++ b/crates/testbed/src/cli/models.rs
@@ -1,4 +1,4 @@
-//! `model`: fleets in simulated time.
+//! Subcommand `model`: fleets in simulated time.
 use super::{ColdStartOptions, CommandResult, Finding, MembershipModelOptions};
 use mallowseam_audit::membership::convergence_periods;
 use mallowseam_models::cold_start::{self as cold_start_model, ColdStartCase, ColdStartOutcome};
@@ -8,12 +8,12 @@
 
 const MICROS_PER_MS: u64 = 1_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Simulated time in microseconds after which a case ends.
-const MAX_SIMULATED: u64 = 3_600_000_000;
-/// Bytes a second and host that the membership protocol may send at rest.
-const MAX_MEMBERSHIP_BYTES: f64 = 2_000.0;
-/// Simulated time in microseconds that requests in the list service's queue may take.
-const MAX_QUEUED: u64 = 1_000_000;
+/// Simulated time after which a case ends, in microseconds.
+const MAX_SIMULATED_TIME: u64 = 3_600_000_000;
+/// Maximum rate at which a host may send membership traffic in a fleet without changes, in bytes per second.
+const MAX_MEMBERSHIP_BYTES_PER_SECOND: f64 = 2_000.0;
+/// Maximum simulated time that the discovery service may need for all queued polls, in microseconds.
+const MAX_QUEUE_TIME: u64 = 1_000_000;
 
 pub(super) fn cold_start(options: &ColdStartOptions) -> CommandResult {
     println!(
@@ -58,29 +58,37 @@
             advertised_service_time,
             ..case
         };
-        cold_start_model::run(case, options.seed, MAX_SIMULATED)
+        cold_start_model::run(case, options.seed, MAX_SIMULATED_TIME)
     };
     let paced = run(Some(service_time));
-    let untold = run(None);
-    let before = run(Some(0));
-    for (name, outcome) in [("told", &paced), ("untold", &untold), ("before", &before)] {
+    let unadvertised = run(None);
+    let unpaced = run(Some(0));
+    for (name, outcome) in [
+        ("told", &paced),
+        ("untold", &unadvertised),
+        ("before", &unpaced),
+    ] {
         print_cold_start(name, case, outcome);
     }
     if let Some(out) = &options.out {
-        let cases = [("paced", &paced), ("untold", &untold), ("before", &before)];
+        let cases = [
+            ("paced", &paced),
+            ("untold", &unadvertised),
+            ("before", &unpaced),
+        ];
         cold_start_model::write(out, &format!("cold-start-{hosts}"), &cases)?;
     }
     let all_have_a_list = paced.list_delays.len() == hosts as usize;
-    Ok(all_have_a_list && paced.max_queued as u64 * service_time <= MAX_QUEUED)
+    Ok(all_have_a_list && paced.max_queued as u64 * service_time <= MAX_QUEUE_TIME)
 }
 
-/// Prints one row.
+/// Prints the table row of one case.
 fn print_cold_start(name: &str, case: ColdStartCase, outcome: &ColdStartOutcome) {
     let hosts = case.hosts;
     let bound = 1.5 * f64::from(hosts) * case.service_time as f64 / 1e6;
-    let seconds = |part| {
+    let seconds = |fraction| {
         outcome
-            .list_delay_within(part)
+            .list_delay_within(fraction)
             .map_or(f64::NAN, |at| at as f64 / 1e6)
     };
     println!(
@@ -114,24 +122,27 @@
         ]
     };
     let mut passed = true;
-    let mut all: Vec<ProtocolMeasurements> = Vec::new();
+    let mut all_measurements: Vec<ProtocolMeasurements> = Vec::new();
     for &hosts in &options.hosts {
         for &protocol in protocols {
             let measured = measurements::measure(protocol, hosts, options.seed);
             passed &= print_membership(protocol, hosts, &measured);
-            all.push(ProtocolMeasurements {
+            all_measurements.push(ProtocolMeasurements {
                 protocol,
                 measurements: measured,
             });
         }
     }
     if let Some(dir) = &options.out {
-        files::write(dir, &all, |hosts| convergence_periods(hosts as u32))?;
+        files::write(dir, &all_measurements, |hosts| {
+            convergence_periods(hosts as u32)
+        })?;
     }
     Ok(Finding::from(passed))
 }
 
-/// Prints one row; whether the protocol as built stays within its bounds.
+/// Prints the table row of one protocol and number of hosts. Returns false if the row is that of the protocol as built
+/// and exceeds a bound.
 fn print_membership(protocol: Protocol, hosts: usize, m: &Measurements) -> bool {
     let bound = convergence_periods(hosts as u32);
     println!(
@@ -145,8 +156,8 @@
         m.false_positive_fraction,
         protocol.name()
     );
-    let settled = [m.start_s, m.kill_s, m.heal_s]
+    let converges = [m.start_s, m.kill_s, m.heal_s]
         .iter()
         .all(|seconds| *seconds <= bound);
-    protocol != Protocol::Lifeguard || settled && m.bytes_s <= MAX_MEMBERSHIP_BYTES
+    protocol != Protocol::Lifeguard || converges && m.bytes_s <= MAX_MEMBERSHIP_BYTES_PER_SECOND
 }
--- a/crates/testbed/src/cli/placement.rs
+++ b/crates/testbed/src/cli/placement.rs
@@ -1,11 +1,11 @@
-//! `shares-check` and `shares-day`.
+//! Subcommands `shares-check` and `shares-day`.
 use super::{CommandResult, Finding, program};
 use mallowseam_models::exhaustive_placement;
 use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
 use mallowseam_placement::problem::Problem;
 use mallowseam_testbed::placement_day;
 
-/// Compares the solver with the enumeration on problems of some seeds in a row.
+/// Compares the solver's results with those of exhaustive enumeration, on one problem for each consecutive seed.
 pub(super) fn check(first_seed: u64, count: u64) -> Finding {
     let mut agree = 0;
     for seed in first_seed..first_seed + count {
@@ -25,7 +25,7 @@
     Finding::from(agree == count)
 }
 
-/// Plays the day with each kind of weights.
+/// Plays the scripted day with each set of weights, and prints their comparison.
 pub(super) fn day(seed: u64, seeds: u64) -> CommandResult {
     let report = placement_day::run(seed, seeds, &program())?;
     println!("{}", report.table);
--- a/crates/testbed/src/cli/rehearsal.rs
+++ b/crates/testbed/src/cli/rehearsal.rs
@@ -1,4 +1,4 @@
-//! `demo`, and `rehearse` of a scenario.
+//! Subcommand `demo`, and `rehearse` for a scenario of iSCSI hosts.
 use super::{CommandResult, Finding, program, rehearsal_report};
 use mallowseam_scenarios::builtin;
 use mallowseam_scenarios::rehearsal as script;
@@ -9,7 +9,7 @@
     play("demo", seed, 1, false)
 }
 
-/// Plays a script by its name, or from a file, with some seeds in a row.
+/// Plays a script, built in or from a file, with each of the consecutive seeds.
 pub(super) fn play(name: &str, first_seed: u64, seeds: u64, quiet: bool) -> CommandResult {
     let text = match builtin::rehearsal(name) {
         Some(text) => text.to_owned(),
--- a/crates/testbed/src/cli/rehearsal_report.rs
+++ b/crates/testbed/src/cli/rehearsal_report.rs
@@ -1,4 +1,4 @@
-//! What is printed of a rehearsal. Scripts read the last lines: their form stays.
+//! Report of a rehearsal on standard output. Scripts parse its last lines, so the format of these lines is fixed.
 use mallowseam_audit::rehearsal::{ClassCount, Verdict};
 use mallowseam_testbed::rehearsal::{ChangeLogReport, Outcome, Rollouts, SnapshotReport};
 
@@ -46,8 +46,9 @@
 }
 
 fn print_class(class: &ClassCount) {
-    let latency_ms =
-        |part| quantile(&class.latencies, part).map_or(0.0, |latency| latency as f64 / 1000.0);
+    let latency_ms = |fraction| {
+        quantile(&class.latencies, fraction).map_or(0.0, |latency| latency as f64 / 1000.0)
+    };
     println!(
         "{:<10}{:>8}{:>10}{:>8.1}%{:>7}{:>8}{:>10}{:>12.1}{:>9.1}",
         class.name,
@@ -95,7 +96,7 @@
 
 fn print_plan_changes(verdict: &Verdict, change_log: ChangeLogReport, rollouts: &Rollouts) {
     let ChangeLogReport { versions, replayed } = change_log;
-    let after_ms = |part| quantile(&rollouts.durations_ms, part).unwrap_or(0);
+    let after_ms = |fraction| quantile(&rollouts.durations_ms, fraction).unwrap_or(0);
     println!(
         "told in force at all hosts: {} of {}; after {} ms in the median, {} ms at most",
         rollouts.durations_ms.len(),
@@ -111,8 +112,8 @@
     );
 }
 
-/// The value of ascending ones at a part of their number; the last one at the end.
-fn quantile(ascending: &[u64], part: f64) -> Option<u64> {
-    let index = (ascending.len() as f64 * part) as usize;
+/// Returns a quantile of values in ascending order, the largest value at fraction 1, or `None` without values.
+fn quantile(ascending: &[u64], fraction: f64) -> Option<u64> {
+    let index = (ascending.len() as f64 * fraction) as usize;
     ascending.get(index).or(ascending.last()).copied()
 }
--- a/crates/testbed/src/cli/search.rs
+++ b/crates/testbed/src/cli/search.rs
@@ -1,4 +1,4 @@
-//! `search`: exhaustive checks of small state machines.
+//! Subcommand `search`: exhaustive checks of small state machines.
 use super::Finding;
 use mallowseam_models::membership::exhaustive;
 use std::time::Instant;
@@ -18,13 +18,13 @@
         let seconds = began.elapsed().as_secs_f64();
         match found {
             Ok(report) => {
-                let extent = if report.complete {
+                let coverage = if report.complete {
                     "all"
                 } else {
                     "as many as allowed"
                 };
                 println!(
-                    "{name}: {} states ({extent}), {} steps, depth {}, {seconds:.1} s",
+                    "{name}: {} states ({coverage}), {} steps, depth {}, {seconds:.1} s",
                     report.states, report.steps, report.depth
                 );
             }
--- a/crates/testbed/src/cli/soak.rs
+++ b/crates/testbed/src/cli/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: short scenarios of restarts, each drawn by its seed.
+//! Subcommand `soak`: short scenarios of host restarts, each drawn by its seed.
 use super::{CommandResult, Finding};
 use mallowseam_testbed::fleet::processes::Program;
 use mallowseam_testbed::fleet::soak::{SeedReport, Soak};
@@ -6,24 +6,24 @@
 
 #[derive(clap::Args)]
 pub(super) struct SoakOptions {
-    /// How many seeds in a row
+    /// Number of consecutive seeds
     #[arg(long, default_value_t = 50)]
     seeds: u64,
-    /// The first seed
+    /// First seed
     #[arg(long, value_name = "SEED", default_value_t = 1)]
     from: u64,
-    /// Number of hosts, in place of the 3 to 8 that each seed draws
+    /// Number of hosts, instead of the 3 to 8 that each seed draws
     #[arg(long)]
     hosts: Option<u32>,
-    /// A directory in which logs and configurations of each seed are kept
+    /// Directory in which the logs and configurations of each seed are kept
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
-    /// Scenarios that are played at once
+    /// Number of scenarios that are played concurrently
     #[arg(long, default_value_t = 2)]
     parallel: usize,
 }
 
-/// Plays the seeds, and prints each with its findings.
+/// Plays the scenario of each seed, and prints a report with its findings.
 pub(super) fn play(options: SoakOptions) -> CommandResult {
     let soak = Soak {
         seeds: (options.from..options.from + options.seeds).collect(),
@@ -44,7 +44,7 @@
     Ok(Finding::from(totals.with_findings == 0))
 }
 
-/// Sums over all seeds.
+/// Sums over the reports of all seeds.
 #[derive(Default)]
 struct Totals {
     seeds: u64,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,11 @@
-//! Testbed of the gateway: plays scenarios with fault injection through host processes. Nothing here is part of
-//! `mallowseam`.
+//! Testbed of the gateway: plays scenarios with fault injection through host processes. Nothing in this package is part
+//! of `mallowseam` itself.
 //!
 //! - [`rehearsal`] plays a scenario of `mallowseam-scenarios` with host processes between `mallowseam-stand-ins` and
-//!   `mallowseam-load`. These write a common trace, which `mallowseam-audit` judges.
-//! - [`fleet`] does the same with many hosts and faults on the links between them.
-//! - [`benchmark`] and [`snapshot_benchmark`] measure; [`placement_day`] compares weights over a day.
+//!   `mallowseam-load`. Stand-ins and load write a common trace, which `mallowseam-audit` checks.
+//! - [`fleet`] plays scenarios with many hosts and with faults on the links between hosts and their peers.
+//! - [`benchmark`] and [`snapshot_benchmark`] measure latency, rate and memory; [`placement_day`] compares weights of
+//!   volumes over a simulated day.
 #![warn(missing_docs)]
 
 pub mod benchmark;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `mallowseam-testbed`: the testbed's command line.
+//! Entry point of the program `mallowseam-testbed`.
 mod cli;
 
 use std::process::ExitCode;
--- a/crates/testbed/src/rehearsal.rs
+++ b/crates/testbed/src/rehearsal.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: real hosts as processes, stand-ins around them, faults as the script says, then the audit.
+//! Plays a scenario with real host processes between stand-ins, injects the faults of the script, and audits the run.
 mod config;
 mod faults;
 mod hosts;
@@ -32,76 +32,76 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Target name of the hosts.
+/// iSCSI target name of the hosts.
 const TARGET: &str = "iqn.2026-12.example.lab:gateway";
-/// The slowest that the stand-ins' draws allow is not what they bear: the audit assumes the fastest, and a node that
-/// crashed from overload reports it itself.
-const FASTEST_NODE: f64 = 0.85;
+/// Factor on the work of a unit at the fastest node that a seed can draw. The audit assumes this speed for every node,
+/// not that of the slowest: a node that crashes from overload records the crash itself.
+const FASTEST_NODE_WORK_FACTOR: f64 = 0.85;
 
-/// What a rehearsal came to.
+/// Result of a rehearsal.
 pub struct Outcome {
-    /// The audit's result.
+    /// Result of the audit.
     pub verdict: Verdict,
-    /// The record of the run.
+    /// Trace of the run.
     pub trace: Vec<TraceEntry>,
-    /// The configuration that the hosts share.
+    /// Configuration that the hosts share.
     pub config: GatewayConfig,
-    /// Processes and requests that did not end as they should.
+    /// Failures of processes and of the testbed's own requests.
     pub failures: Vec<String>,
-    /// Snapshots and clones.
+    /// Report on snapshots and clones.
     pub snapshots: SnapshotReport,
-    /// The change log of plans; none without a plan service.
+    /// Report on the change log of plans, or `None` without a plan service.
     pub change_log: Option<ChangeLogReport>,
-    /// Changes of plans that were requested.
+    /// Plan changes that were requested, and how long they took to reach all hosts.
     pub rollouts: Rollouts,
 }
 
 impl Outcome {
-    /// Whether all rules hold, and all processes and clones are as they should be.
+    /// Returns whether all rules hold, no process or request failed, and no clone shows wrong contents.
     pub fn passed(&self) -> bool {
         self.verdict.passed() && self.failures.is_empty() && self.snapshots.wrong_clones.is_empty()
     }
 }
 
-/// How snapshots and clones came out.
+/// Report on the snapshots and clones of a rehearsal.
 #[derive(Default)]
 pub struct SnapshotReport {
-    /// Clones that were made.
+    /// Number of clones that were created and read.
     pub clones: u64,
-    /// Clones that show their snapshot and their own writes, and nothing else.
+    /// Number of clones that show their snapshot and their own writes, and nothing else.
     pub isolated_clones: u64,
-    /// Snapshots and clones that were refused, with the reason.
+    /// Requests for snapshots and clones that the catalog refused, with the reason.
     pub refused: Vec<String>,
-    /// What is wrong with clones.
+    /// Clones with wrong contents, and snapshots that changed after writes to clones, each with a description.
     pub wrong_clones: Vec<String>,
-    /// Slots that nothing referred to, as `verify` found them at the end.
+    /// Number of slots without a reference that `verify` found at the end.
     pub leaked_slots: u64,
-    /// Milliseconds from each request for a snapshot to its grant.
+    /// Time from each request for a snapshot to its grant, in milliseconds.
     pub grant_ms: Vec<u64>,
 }
 
-/// How the change log of plans replays.
+/// Result of replaying the change log of plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangeLogReport {
-    /// Versions in the log.
+    /// Number of versions in the log.
     pub versions: u64,
-    /// Versions that the log replays to.
+    /// Number of versions that the log replays to.
     pub replayed: u64,
 }
 
-/// How changes of plans reached the hosts.
+/// Propagation of plan changes to the hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rollouts {
-    /// Milliseconds from each request to the answer that all hosts apply it, ascending.
+    /// Time from each request to the answer that all hosts apply the change, in milliseconds, ascending.
     pub durations_ms: Vec<u64>,
-    /// Number of requests.
+    /// Number of requested changes.
     pub requested: usize,
 }
 
-/// Plays a scenario. `report` gets the time and a line for each fault as it happens.
+/// Plays a scenario. Calls `report` with the time and a line of text for each fault as it is injected.
 ///
 /// # Errors
-/// A stand-in or process cannot be started, or the script's configuration has mistakes.
+/// A stand-in or process cannot be started, or the script's configuration is invalid.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -119,16 +119,16 @@
         rehearsal.inject(&event.fault);
     }
     rehearsal.wait_until(scenario.duration);
-    report(rehearsal.trace.now(), "clients ask for nothing more");
+    report(rehearsal.trace.now(), "clients stop sending commands");
     let outcome = rehearsal.finish();
     if !outcome.passed() {
-        // The hosts' logs are evidence.
+        // Keeps the hosts' logs as evidence.
         let _ = dir.keep();
     }
     Ok(outcome)
 }
 
-/// A scenario being played.
+/// Rehearsal in progress.
 struct Rehearsal<'a> {
     scenario: &'a Scenario,
     trace: Trace,
@@ -140,8 +140,8 @@
     plan_service: Option<Child>,
     requested_changes: Arc<Mutex<Vec<RequestedChange>>>,
     catalog_requests: Arc<Mutex<Vec<CatalogRequest>>>,
-    /// Threads that wait for the answers to such requests.
-    requesters: Vec<JoinHandle<()>>,
+    /// Threads that wait for the answers to plan changes and catalog requests.
+    request_threads: Vec<JoinHandle<()>>,
     host_addresses: Vec<SocketAddr>,
     program: Program,
     dir: PathBuf,
@@ -156,13 +156,13 @@
         std::thread::sleep(Duration::from_micros(at.saturating_sub(now)));
     }
 
-    fn join_requesters(&mut self) {
-        for requester in std::mem::take(&mut self.requesters) {
-            let _ = requester.join();
+    fn join_request_threads(&mut self) {
+        for thread in std::mem::take(&mut self.request_threads) {
+            let _ = thread.join();
         }
     }
 
-    /// Lets commands in flight complete, terminates the processes, and judges the run.
+    /// Waits for commands in flight to complete, terminates the processes, and audits the run.
     fn finish(mut self) -> Outcome {
         self.drain_load();
         let mut layout = Layout::default();
@@ -179,7 +179,7 @@
             self.verify(&mut snapshots);
         }
         let rollouts = self.rollouts();
-        // Stand-ins record until they end.
+        // Stand-ins and load add to the trace until they are dropped.
         drop(self.load);
         drop(self.nodes);
         drop(self.list);
@@ -195,7 +195,7 @@
         }
     }
 
-    /// No new commands, and time for those in flight to complete.
+    /// Stops new commands, and waits until those in flight have completed or are past their deadlines.
     fn drain_load(&self) {
         self.load.send(Behaviour::Drain);
         let deadlines = self.config.io_classes.iter().map(|class| class.deadline);
@@ -206,16 +206,17 @@
     fn terminate_all(&mut self) {
         if !terminate(&mut self.plan_service) {
             self.failures
-                .push("the control service did not end well".into());
+                .push("plan service did not exit with code 0 after SIGTERM".into());
         }
         for n in 0..self.scenario.hosts {
             self.signal_host(n, Signal::SIGTERM);
         }
         for n in 0..self.scenario.hosts {
-            self.await_host_end(n);
+            self.await_host_exit(n);
         }
         if !terminate(&mut self.catalog) {
-            self.failures.push("the catalog did not end well".into());
+            self.failures
+                .push("snapshot catalog did not exit with code 0 after SIGTERM".into());
         }
     }
 }
@@ -227,6 +228,6 @@
     layout: &Layout,
 ) -> Verdict {
     let mut model = scenario.model.clone();
-    model.unit_work *= FASTEST_NODE;
+    model.unit_work *= FASTEST_NODE_WORK_FACTOR;
     audit::judge(config, &model, trace, layout)
 }
--- a/crates/testbed/src/rehearsal/config.rs
+++ b/crates/testbed/src/rehearsal/config.rs
@@ -1,4 +1,4 @@
-//! Loopback addresses and configuration files of a rehearsal.
+//! Loopback addresses and configuration files of the processes of a rehearsal.
 use super::TARGET;
 use mallowseam_scenarios::rehearsal::{CatalogScenario, Scenario};
 use mallowseam_settings::{Diagnostics, GatewayConfig};
@@ -10,9 +10,10 @@
 
 const PORT: u16 = 3260;
 
+/// Number of runs started by this process.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// Loopback addresses of one run, so that runs beside each other and ephemeral ports never clash.
+/// Loopback addresses of one run, distinct from those of concurrent runs and from the address of ephemeral ports.
 pub(super) struct Addresses {
     second_byte: u8,
     third_byte: u8,
@@ -57,7 +58,7 @@
     }
 }
 
-/// The configuration file of a host.
+/// Returns the text of a host's configuration file.
 pub(super) fn config_text(
     scenario: &Scenario,
     addresses: &Addresses,
@@ -73,7 +74,9 @@
         seed,
     };
     let mut out = String::new();
-    writer.write(&mut out).expect("a string can be written to");
+    writer
+        .write(&mut out)
+        .expect("writing to a string does not fail");
     out
 }
 
@@ -88,7 +91,7 @@
 
 impl ConfigWriter<'_> {
     fn write(&self, out: &mut String) -> fmt::Result {
-        // The script's own sections first: their lines keep their numbers.
+        // The script's own sections come first, so that diagnostics have the line numbers of these sections.
         writeln!(out, "{}\n", self.scenario.config_sections)?;
         if let Some(catalog) = &self.scenario.catalog {
             self.write_catalog(out, catalog)?;
@@ -155,10 +158,10 @@
     }
 }
 
-/// The configuration that a scenario's hosts share.
+/// Returns the configuration that a scenario's hosts share.
 ///
 /// # Errors
-/// All mistakes in the script's sections.
+/// The script's sections are invalid; all mistakes are reported.
 pub fn shared_config(scenario: &Scenario) -> Result<GatewayConfig, Diagnostics> {
     let text = config_text(scenario, &Addresses::new(), Path::new("."), 0, 0);
     mallowseam_settings::parse(&scenario.name, &text)
--- a/crates/testbed/src/rehearsal/faults.rs
+++ b/crates/testbed/src/rehearsal/faults.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a script.
+//! Injection of a script's faults.
 use super::Rehearsal;
 use super::snapshots::CatalogChange;
 use crate::error::RunError;
@@ -12,22 +12,23 @@
 use nix::sys::signal::Signal;
 use std::time::Duration;
 
-/// How often, and how many times, a node is looked after that has to start: one second in all.
-const START_POLL: Duration = Duration::from_millis(5);
-const START_POLLS: u32 = 200;
+/// Interval at which a starting node is polled.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of polls before a starting node is given up: one second in total.
+const MAX_START_POLLS: u32 = 200;
 
 impl Rehearsal<'_> {
     pub(super) fn inject(&mut self, fault: &Fault) {
         match fault {
-            Fault::NodeSilent(n, on) => self.node_fault(*n, NodeFault::Silent(*on)),
-            Fault::NodeStill(n, on) => self.node_fault(*n, NodeFault::Frozen(*on)),
-            Fault::NodeDeaf(n, on) => self.node_fault(*n, NodeFault::NotAccepting(*on)),
-            Fault::NodeSlow(n, times) => self.node_fault(*n, NodeFault::Slow(*times)),
-            Fault::NodeErrors(n, part) => self.node_fault(*n, NodeFault::Errors(*part)),
-            Fault::NodeLoses(n, part) => self.node_fault(*n, NodeFault::LoseAnswers(*part)),
-            Fault::NodeReset(n) => self.node_fault(*n, NodeFault::Reset),
+            Fault::NodeSilent(n, on) => self.inject_node_fault(*n, NodeFault::Silent(*on)),
+            Fault::NodeStill(n, on) => self.inject_node_fault(*n, NodeFault::Frozen(*on)),
+            Fault::NodeDeaf(n, on) => self.inject_node_fault(*n, NodeFault::NotAccepting(*on)),
+            Fault::NodeSlow(n, times) => self.inject_node_fault(*n, NodeFault::Slow(*times)),
+            Fault::NodeErrors(n, part) => self.inject_node_fault(*n, NodeFault::Errors(*part)),
+            Fault::NodeLoses(n, part) => self.inject_node_fault(*n, NodeFault::LoseAnswers(*part)),
+            Fault::NodeReset(n) => self.inject_node_fault(*n, NodeFault::Reset),
             Fault::NodeCrash(n) => {
-                self.node_fault(*n, NodeFault::Crash);
+                self.inject_node_fault(*n, NodeFault::Crash);
                 self.list_node(self.order.node(*n), EndpointState::Removed);
             }
             Fault::NodeStart(n) => self.restart_node(self.order.node(*n)),
@@ -37,9 +38,9 @@
             Fault::HostTerm(n) => self.signal_host(self.order.host(*n), Signal::SIGTERM),
             Fault::HostStart(n) => {
                 let host = self.order.host(*n);
-                self.await_host_end(host);
+                self.await_host_exit(host);
                 let started = self.start_host(host);
-                self.note_failure(started);
+                self.record_failure(started);
             }
             Fault::HostStall(n, on) => {
                 let signal = if *on {
@@ -65,20 +66,20 @@
             Fault::CatalogKill => drop(kill_now(&mut self.catalog)),
             Fault::CatalogStart => {
                 let started = self.start_catalog();
-                self.note_failure(started);
+                self.record_failure(started);
             }
             Fault::ControlKill => drop(kill_now(&mut self.plan_service)),
             Fault::ControlStart => {
                 let started = self.start_plan_service();
-                self.note_failure(started);
+                self.record_failure(started);
             }
             Fault::PlanChange(plan, times) => self.change_plan(*plan, *times),
-            client_fault => self.change_load(client_fault),
+            client_fault => self.inject_client_fault(client_fault),
         }
     }
 
-    /// Faults of clients, which the load carries out.
-    fn change_load(&self, fault: &Fault) {
+    /// Injects a fault of the clients, which the load simulates.
+    fn inject_client_fault(&self, fault: &Fault) {
         let client = |n: &Selector| self.order.client(*n);
         let behaviour = match fault {
             Fault::ClientDrop(n) => Behaviour::Disconnect(client(n)),
@@ -94,21 +95,21 @@
         self.load.send(behaviour);
     }
 
-    fn node_fault(&self, node: Selector, fault: NodeFault) {
+    fn inject_node_fault(&self, node: Selector, fault: NodeFault) {
         self.nodes[self.order.node(node) as usize].inject(fault);
     }
 
-    /// Starts a node's process, and has it listed once it is up.
+    /// Starts a node's process, and adds the node to the endpoint list once it is up.
     fn restart_node(&self, n: u32) {
         let node = &self.nodes[n as usize];
-        let before = node.lifecycle().incarnation;
+        let previous_incarnation = node.lifecycle().incarnation;
         node.inject(NodeFault::Start);
-        for _ in 0..START_POLLS {
+        for _ in 0..MAX_START_POLLS {
             let lifecycle = node.lifecycle();
-            if lifecycle.up && lifecycle.incarnation > before {
+            if lifecycle.up && lifecycle.incarnation > previous_incarnation {
                 return self.list_node(n, EndpointState::Active);
             }
-            std::thread::sleep(START_POLL);
+            std::thread::sleep(START_POLL_INTERVAL);
         }
     }
 
@@ -125,12 +126,13 @@
     fn drain_host(&mut self, n: u32) {
         let control = &self.hosts[n as usize].control_socket;
         if let Err(e) = mallowseam_control_protocol::send_request(control, "drain") {
-            self.failures.push(format!("drain: {e}"));
+            self.failures
+                .push(format!("drain request to a host failed: {e}"));
         }
     }
 
-    fn note_failure(&mut self, done: Result<(), RunError>) {
-        if let Err(e) = done {
+    fn record_failure(&mut self, result: Result<(), RunError>) {
+        if let Err(e) = result {
             self.failures.push(e.to_string());
         }
     }
--- a/crates/testbed/src/rehearsal/hosts.rs
+++ b/crates/testbed/src/rehearsal/hosts.rs
@@ -9,10 +9,12 @@
 use std::process::{Child, Stdio};
 use std::time::Duration;
 
-/// How often, and how many times, a host is looked after that has to end: fifteen seconds in all.
-const END_POLL: Duration = Duration::from_millis(10);
-const END_POLLS: u32 = 1500;
+/// Interval at which a terminated host is polled for its exit.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of polls before a terminated host is killed: fifteen seconds in total.
+const MAX_EXIT_POLLS: u32 = 1500;
 
+/// A host's process, while it runs, and its files.
 pub(super) struct HostProcess {
     pub(super) child: Option<Child>,
     pub(super) config_file: PathBuf,
@@ -69,53 +71,54 @@
         }
     }
 
-    /// Waits for a terminated host; it must end by itself, with code 0.
-    pub(super) fn await_host_end(&mut self, n: u32) {
+    /// Waits for a terminated host to exit. Another exit code than 0 is recorded as a failure, and so is a timeout, after
+    /// which the host is killed.
+    pub(super) fn await_host_exit(&mut self, n: u32) {
         let Some(mut child) = self.hosts[n as usize].child.take() else {
             return;
         };
-        for _ in 0..END_POLLS {
+        for _ in 0..MAX_EXIT_POLLS {
             if let Ok(Some(status)) = child.try_wait() {
                 if !status.success() {
-                    self.failures.push(format!("gw{n} ended with {status}"));
+                    self.failures.push(format!("host gw{n} failed: {status}"));
                 }
                 self.trace.record(TraceEvent::HostDown { host: n });
                 return;
             }
-            std::thread::sleep(END_POLL);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
         self.failures
-            .push(format!("gw{n} did not end within 15 s of SIGTERM"));
+            .push(format!("host gw{n} did not exit within 15 s of SIGTERM"));
         let _ = child.kill();
         let _ = child.wait();
         self.trace.record(TraceEvent::HostDown { host: n });
     }
 
-    /// Has `verify` compare catalog and nodes. Slots that a killed host left behind may be found once; after they
-    /// were reclaimed, none may be.
+    /// Runs `verify` twice to compare the catalog with the nodes. The first run may find slots that killed hosts leaked,
+    /// and reclaims them; the second run must find none.
     pub(super) fn verify(&mut self, report: &mut super::SnapshotReport) {
-        for mend in [true, false] {
+        for reclaim in [true, false] {
             let mut command = self.program.command();
             command.arg("verify").arg(&self.hosts[0].config_file);
-            if mend {
+            if reclaim {
                 command.arg("--mend");
             }
-            let (good, text) = match command.output() {
+            let (succeeded, text) = match command.output() {
                 Ok(output) => (
                     output.status.success(),
                     String::from_utf8_lossy(&output.stdout).into_owned(),
                 ),
                 Err(e) => (false, e.to_string()),
             };
-            if mend {
+            if reclaim {
                 report.leaked_slots = text
                     .lines()
                     .filter(|line| line.starts_with("given back"))
                     .count() as u64;
             }
-            if !good {
+            if !succeeded {
                 self.failures.push(format!(
-                    "verify: {}",
+                    "verify of the snapshot catalog failed: {}",
                     text.lines().last().unwrap_or_default()
                 ));
             }
--- a/crates/testbed/src/rehearsal/plan_changes.rs
+++ b/crates/testbed/src/rehearsal/plan_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of plans during a rehearsal, and the change log that the plan service keeps of them.
+//! Changes of plans during a rehearsal, and the plan service's change log of them.
 use super::{ChangeLogReport, Rehearsal, Rollouts};
 use mallowseam_audit::rehearsal::{EffectiveLimit, Layout};
 use mallowseam_audit::trace::Micros;
@@ -12,22 +12,22 @@
 use std::path::Path;
 use std::sync::{Arc, PoisonError};
 
-/// Keeps the draws of plan changes apart from a rehearsal's other draws of the same seed.
+/// Makes the random numbers for plan changes independent of a rehearsal's other random numbers of the same seed.
 const SEED_SALT: u64 = 0x7a71;
-/// No change is requested so shortly before the end.
+/// Time before the end of a rehearsal in which no change is requested, in microseconds.
 const QUIET_END: Micros = 2_000_000;
-/// Entries of the change log that are read back.
+/// Maximum number of entries of the change log that are read back.
 const MAX_LOG_ENTRIES: usize = 10_000;
 
-/// A change of a limit that was requested.
+/// Requested change of a plan's limit.
 pub(super) struct RequestedChange {
     reason: String,
     at: Micros,
-    /// When the plan service answered that all hosts apply it.
+    /// Time of the plan service's answer that all hosts apply the change; `None` after any other answer.
     effective_at: Option<Micros>,
 }
 
-/// Changes of limits over a rehearsal, as the seed draws them.
+/// Returns the changes of plans' limits during a rehearsal, drawn by the seed.
 pub fn plan_changes(scenario: &Scenario, config: &GatewayConfig, seed: u64) -> Vec<Event> {
     let Some(interval) = scenario.plan_change_interval else {
         return Vec::new();
@@ -53,7 +53,7 @@
         .collect()
 }
 
-/// A plan with its limit and burst multiplied; the limit stays above the reserved rate.
+/// Returns a plan with its limit and burst multiplied by a factor. The limit is at least the reserved rate.
 fn scaled_plan(plan: config::Plan, times: f64) -> Plan {
     let rate_limit = (plan.rate_limit * times).max(plan.reserved_rate);
     let burst_units = plan.burst_units * times;
@@ -65,19 +65,19 @@
 }
 
 fn request(socket: &Path, request: &PlanRequest) -> Result<String, RequestError> {
-    let line = serde_json::to_string(request).expect("plan requests have a JSON form");
+    let line = serde_json::to_string(request).expect("plan requests serialize to JSON");
     send_request(socket, &line)
 }
 
 impl Rehearsal<'_> {
-    /// Requests a change of a plan's limit, in a thread of its own that waits until all hosts apply it.
+    /// Requests a change of a plan's limit, in a separate thread that waits until all hosts apply the change.
     pub(super) fn change_plan(&mut self, plan: usize, times: f64) {
         let trace = self.trace.clone();
         let requested_changes = Arc::clone(&self.requested_changes);
         let socket = self.dir.join("control.sock");
         let plan = self.config.plans[plan].clone();
-        let number = self.requesters.len();
-        self.requesters.push(std::thread::spawn(move || {
+        let number = self.request_threads.len();
+        self.request_threads.push(std::thread::spawn(move || {
             let reason = format!("change {number}");
             let set = PlanRequest::Set {
                 change: Change::SetPlan {
@@ -104,7 +104,7 @@
         }));
     }
 
-    /// How long the requested changes took to reach all hosts.
+    /// Returns how long the requested changes took to reach all hosts.
     pub(super) fn rollouts(&self) -> Rollouts {
         let requested = self
             .requested_changes
@@ -121,9 +121,10 @@
         }
     }
 
-    /// Works out which limits were effective when, by the change log and the answers, and has the log replayed.
+    /// Adds the time in which each limit was effective to the layout, derived from the change log and the answers, and
+    /// lets the plan service replay the log.
     pub(super) fn read_change_log(&mut self, layout: &mut Layout) -> ChangeLogReport {
-        self.join_requesters();
+        self.join_request_threads();
         let socket = self.dir.join("control.sock");
         let history = PlanRequest::History {
             from: 1,
@@ -132,7 +133,8 @@
         let history = match request(&socket, &history) {
             Ok(text) => text,
             Err(e) => {
-                self.failures.push(format!("the trail: {e}"));
+                self.failures
+                    .push(format!("cannot read the change log of plans: {e}"));
                 return ChangeLogReport {
                     versions: 0,
                     replayed: 0,
@@ -162,22 +164,22 @@
     }
 }
 
-/// Has the plan service replay its change log. Returns what it says unless all versions replay.
+/// Lets the plan service replay its change log. Returns a description of the failure unless all versions replay.
 fn replay_failure(socket: &Path, versions: u64) -> Option<String> {
     match request(socket, &PlanRequest::Replay) {
         Ok(text) if text == format!("trail replays: {versions} of {versions}") => None,
         Ok(text) => Some(text),
-        Err(e) => Some(format!("the trail: {e}")),
+        Err(e) => Some(format!("cannot replay the change log of plans: {e}")),
     }
 }
 
-/// Each limit in the log, by plan, with the time in which some host may have applied it.
+/// Returns each limit in the log with its plan's name and the time in which some host may have applied the limit.
 fn effective_limits(
     log: &[LogEntry],
     requested: &[RequestedChange],
 ) -> Vec<(String, EffectiveLimit)> {
     let request_of = |entry: &LogEntry| requested.iter().find(|r| r.reason == entry.reason);
-    // Once all hosts apply a version, none of them applies an earlier one.
+    // Once all hosts apply a version, no host applies an earlier one.
     let superseded_at = |version: u64| {
         let later = log.iter().filter(|e| e.version >= version);
         later
--- a/crates/testbed/src/rehearsal/read_back.rs
+++ b/crates/testbed/src/rehearsal/read_back.rs
@@ -1,4 +1,4 @@
-//! Reads snapshots and clones back at the end of a rehearsal, writes to the clones, and reads all again.
+//! Check of snapshots and clones at the end of a rehearsal: reads them, writes to the clones, and reads all of them again.
 use super::snapshots::{CatalogChange, CatalogRefusal, CatalogRequest};
 use super::{Rehearsal, SnapshotReport, TARGET};
 use crate::blocking_client::{Answer, BlockingClient, ClientError};
@@ -13,83 +13,93 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-/// Number of the client that reads back, which no client of the load has.
+/// Index of the client that reads back, distinct from those of the load's clients.
 const CLIENT_INDEX: u32 = 900;
-/// Ids of what is written to clones, which no client uses.
-const CLONE_WRITE_IDS: u64 = 1 << 48;
+/// First id of writes to clones, above the ids of the load's writes.
+const FIRST_CLONE_WRITE_ID: u64 = 1 << 48;
+/// Number of write ids reserved for each clone.
 const IDS_PER_CLONE: u64 = 100;
-/// Writes to each clone, the blocks of each, and the distance between them.
+/// Number of writes to each clone.
 const CLONE_WRITES: u64 = 8;
+/// Blocks of each write to a clone.
 const CLONE_WRITE_BLOCKS: u32 = 8;
+/// Distance between the first blocks of two writes to a clone, in blocks.
 const CLONE_WRITE_STRIDE: u64 = 200;
-const WRITE_ATTEMPTS: u32 = 20;
-/// Blocks of one read, how often it is tried, and the pause between.
-const READ_BLOCKS: u64 = 256;
-const READ_ATTEMPTS: u32 = 50;
-const READ_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of attempts at a write.
+const MAX_WRITE_ATTEMPTS: u32 = 20;
+/// Maximum number of blocks of one read.
+const MAX_READ_BLOCKS: u64 = 256;
+/// Maximum number of attempts at a read.
+const MAX_READ_ATTEMPTS: u32 = 50;
+/// Pause between two attempts at a read.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Per block the id of the write it shows.
-type Shown = Vec<Option<u64>>;
+/// Id of the write that each block shows: 0 for a block that was never written, `None` for a corrupt block.
+type WriteIds = Vec<Option<u64>>;
 
-/// A snapshot that was read once.
+/// Snapshot that was read once.
 struct SnapshotUnit {
     request: CatalogRequest,
     name: String,
     lun: u32,
 }
 
-/// A clone that was read once.
+/// Clone that was read once, before any write to a clone.
 struct CloneUnit {
     name: String,
     snapshot: String,
     lun: u32,
-    shown: Shown,
+    write_ids: WriteIds,
 }
 
-/// What was read before anything was written to clones.
+/// Contents of snapshots and clones before any write to a clone.
 #[derive(Default)]
 struct FirstReading {
     snapshots: Vec<SnapshotUnit>,
     clones: Vec<CloneUnit>,
-    /// What each snapshot showed, by its name.
-    shown: BTreeMap<String, Shown>,
+    /// Contents of each snapshot, by its name.
+    snapshot_ids: BTreeMap<String, WriteIds>,
 }
 
 impl Rehearsal<'_> {
-    /// Reads every snapshot and clone back, and fills the layout with the catalog's extent locations.
+    /// Reads every snapshot and clone back, and adds the catalog's extent locations to the layout.
     pub(super) fn read_back(&mut self, layout: &mut Layout) -> SnapshotReport {
-        self.join_requesters();
+        self.join_request_threads();
         let mut report = SnapshotReport::default();
         let mut client =
             match BlockingClient::open(self.host_addresses[0], Some(TARGET), CLIENT_INDEX) {
                 Ok(client) => client,
                 Err(e) => {
-                    self.failures.push(format!("reading back: {e}"));
+                    self.failures.push(format!(
+                        "cannot log in to read snapshots and clones back: {e}"
+                    ));
                     return report;
                 }
             };
         match self.catalog_tree() {
             Ok(tree) => self.locate_extents(&tree, layout),
-            Err(e) => self.failures.push(format!("the catalog's tree: {e}")),
+            Err(e) => self
+                .failures
+                .push(format!("cannot read the tree of the snapshot catalog: {e}")),
         }
         let FirstReading {
             snapshots,
             clones,
-            shown,
+            snapshot_ids,
         } = self.read_first(&mut client, &mut report);
         for (number, clone) in (0..).zip(&clones) {
-            check_clone(&mut client, number, clone, &shown, &mut report);
+            check_clone(&mut client, number, clone, &snapshot_ids, &mut report);
         }
         for snapshot in snapshots {
-            self.read_again(&mut client, snapshot, &shown, &mut report);
+            self.read_again(&mut client, snapshot, &snapshot_ids, &mut report);
         }
         client.conn.send_logout_request();
-        // The session ends in either way.
+        // The session ends whether the logout request is sent or not.
         let _ = client.flush();
         report
     }
 
-    /// Reads every snapshot and clone once.
+    /// Reads every snapshot and clone for the first time.
     fn read_first(
         &mut self,
         client: &mut BlockingClient,
@@ -100,15 +110,16 @@
             let name = request.change.listed_name();
             let lun = match &request.lun {
                 Ok(lun) => *lun,
-                Err(CatalogRefusal(why)) => {
-                    report.refused.push(format!("{name}: {why}"));
+                Err(CatalogRefusal(reason)) => {
+                    report.refused.push(format!("{name}: {reason}"));
                     continue;
                 }
             };
-            let shown = match read_unit(client, lun, self.block_count(request.change.volume())) {
-                Ok(shown) => shown,
+            let write_ids = match read_unit(client, lun, self.block_count(request.change.volume()))
+            {
+                Ok(write_ids) => write_ids,
                 Err(e) => {
-                    self.failures.push(format!("reading {name} back: {e}"));
+                    self.failures.push(format!("cannot read {name} back: {e}"));
                     continue;
                 }
             };
@@ -117,13 +128,13 @@
                     name,
                     snapshot: snapshot.clone(),
                     lun,
-                    shown,
+                    write_ids,
                 });
             } else {
                 report
                     .grant_ms
                     .push((request.answered_at - request.requested_at) / 1000);
-                reading.shown.insert(name.clone(), shown);
+                reading.snapshot_ids.insert(name.clone(), write_ids);
                 reading.snapshots.push(SnapshotUnit { request, name, lun });
             }
         }
@@ -135,7 +146,7 @@
         Ok(serde_json::from_str(&text)?)
     }
 
-    /// Where the extents of mapped volumes are, in their heads and snapshots.
+    /// Adds the locations of mapped volumes' extents, in their heads and snapshots, to the layout.
     fn locate_extents(&self, tree: &Tree, layout: &mut Layout) {
         let catalog = self.scenario.catalog.as_ref();
         let mut mapped_volumes = MappedVolumes {
@@ -159,8 +170,8 @@
                 for (layer_id, layer) in tree.ancestors(root) {
                     for (extent, location) in &layer.locations {
                         let key = (layer_id, location.node, u64::from(location.slot));
-                        let place = (volume, u64::from(*extent));
-                        mapped_volumes.locations.insert(key, place);
+                        let volume_extent = (volume, u64::from(*extent));
+                        mapped_volumes.locations.insert(key, volume_extent);
                     }
                 }
             }
@@ -185,22 +196,25 @@
             .map_or(0, |v| v.block_count)
     }
 
-    /// What a snapshot shows stays the same, whatever its clones write; the second reading is what is judged.
+    /// Reads a snapshot a second time, after the writes to its clones, and compares it with the first reading. The audit
+    /// checks the second reading.
     fn read_again(
         &mut self,
         client: &mut BlockingClient,
         snapshot: SnapshotUnit,
-        first_reading: &BTreeMap<String, Shown>,
+        first_reading: &BTreeMap<String, WriteIds>,
         report: &mut SnapshotReport,
     ) {
         let SnapshotUnit { request, name, lun } = snapshot;
         let volume = request.change.volume();
         let blocks = match read_unit(client, lun, self.block_count(volume)) {
             Ok(blocks) => blocks,
-            Err(e) => return self.failures.push(format!("reading {name} again: {e}")),
+            Err(e) => return self.failures.push(format!("cannot read {name} again: {e}")),
         };
         if first_reading.get(&name) != Some(&blocks) {
-            report.wrong_clones.push(format!("{name} has changed"));
+            report.wrong_clones.push(format!(
+                "snapshot {name} has changed after writes to clones"
+            ));
         }
         let volume = self
             .config
@@ -219,12 +233,12 @@
     }
 }
 
-/// A clone shows its snapshot, then its own writes and nobody else's.
+/// Checks that a clone shows its snapshot, and after writes to it the snapshot and its own writes alone.
 fn check_clone(
     client: &mut BlockingClient,
     number: u64,
     clone: &CloneUnit,
-    first_reading: &BTreeMap<String, Shown>,
+    first_reading: &BTreeMap<String, WriteIds>,
     report: &mut SnapshotReport,
 ) {
     report.clones += 1;
@@ -232,29 +246,32 @@
         .get(&clone.snapshot)
         .cloned()
         .unwrap_or_default();
-    let mut wrong = (clone.shown != expected).then(|| "does not show its snapshot".to_owned());
+    let mut problem = (clone.write_ids != expected)
+        .then(|| "does not show the contents of its snapshot".to_owned());
     for i in 0..CLONE_WRITES {
-        let id = CLONE_WRITE_IDS + number * IDS_PER_CLONE + i;
+        let id = FIRST_CLONE_WRITE_ID + number * IDS_PER_CLONE + i;
         let lba = i * CLONE_WRITE_STRIDE;
         match write_clone(client, clone.lun, id, lba) {
             Ok(status::GOOD) => {
                 expected[lba as usize..lba as usize + CLONE_WRITE_BLOCKS as usize].fill(Some(id));
             }
-            answer => wrong = wrong.or_else(|| Some(format!("takes no write: {answer:?}"))),
+            answer => problem = problem.or_else(|| Some(format!("rejects a write: {answer:?}"))),
         }
     }
     match read_unit(client, clone.lun, expected.len() as u64) {
-        Ok(shown) if shown == expected => {}
-        Ok(_) => wrong = wrong.or_else(|| Some("does not show its own writes alone".into())),
-        Err(e) => wrong = wrong.or_else(|| Some(e.to_string())),
+        Ok(write_ids) if write_ids == expected => {}
+        Ok(_) => problem = problem.or_else(|| Some("wrong contents after own writes".into())),
+        Err(e) => problem = problem.or_else(|| Some(e.to_string())),
     }
-    match wrong {
-        Some(why) => report.wrong_clones.push(format!("{}: {why}", clone.name)),
+    match problem {
+        Some(problem) => report
+            .wrong_clones
+            .push(format!("{}: {problem}", clone.name)),
         None => report.isolated_clones += 1,
     }
 }
 
-/// Writes to a clone, and again where it is shed; the last status.
+/// Writes to a clone, with retries while the write fails, and returns the last status.
 fn write_clone(
     client: &mut BlockingClient,
     lun: u32,
@@ -264,7 +281,7 @@
     let cdb = read_or_write_16(true, lba, CLONE_WRITE_BLOCKS, EXTENT_COPY_GROUP);
     let mut write = || client.execute(lun, &cdb, 0, block::write(id, lba, CLONE_WRITE_BLOCKS));
     let mut answer = write();
-    for _ in 1..WRITE_ATTEMPTS {
+    for _ in 1..MAX_WRITE_ATTEMPTS {
         if answer
             .as_ref()
             .is_ok_and(|answer| answer.status == status::GOOD)
@@ -276,21 +293,21 @@
     answer.map(|answer| answer.status)
 }
 
-/// Which write each block of a unit shows. Shed reads are tried again for a while.
-fn read_unit(client: &mut BlockingClient, lun: u32, blocks: u64) -> Result<Shown, RunError> {
-    let mut shown = Shown::new();
+/// Reads a whole logical unit and returns the id of the last write to each block. Failed reads are retried.
+fn read_unit(client: &mut BlockingClient, lun: u32, blocks: u64) -> Result<WriteIds, RunError> {
+    let mut write_ids = WriteIds::new();
     let mut lba = 0;
     while lba < blocks {
-        let count = (blocks - lba).min(READ_BLOCKS) as u32;
+        let count = (blocks - lba).min(MAX_READ_BLOCKS) as u32;
         let data = read_blocks(client, lun, lba, count)?;
-        shown.extend(
+        write_ids.extend(
             data.chunks(block::SIZE)
                 .zip(lba..)
                 .map(|(b, at)| block::read(b, at)),
         );
         lba += u64::from(count);
     }
-    Ok(shown)
+    Ok(write_ids)
 }
 
 fn read_blocks(
@@ -311,8 +328,8 @@
         if status == status::GOOD {
             return Ok(data);
         }
-        std::thread::sleep(READ_PAUSE);
-        if attempt == READ_ATTEMPTS {
+        std::thread::sleep(READ_RETRY_PAUSE);
+        if attempt == MAX_READ_ATTEMPTS {
             return Err(RunError::CommandFailed { status, sense });
         }
         attempt += 1;
--- a/crates/testbed/src/rehearsal/selection.rs
+++ b/crates/testbed/src/rehearsal/selection.rs
@@ -1,9 +1,9 @@
-//! Resolves a script's selectors to nodes, hosts and clients.
+//! Resolution of a script's selectors to nodes, hosts and clients.
 use mallowseam_scenarios::rehearsal::{Scenario, Selector};
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
-/// Nodes, hosts and clients in an order that the seed draws.
+/// Indexes of nodes, hosts and clients, each in an order drawn by the seed.
 pub(super) struct SeededOrder {
     nodes: Vec<u32>,
     hosts: Vec<u32>,
--- a/crates/testbed/src/rehearsal/snapshots.rs
+++ b/crates/testbed/src/rehearsal/snapshots.rs
@@ -3,14 +3,14 @@
 use mallowseam_audit::trace::Micros;
 use std::sync::{Arc, PoisonError};
 
-/// What is requested of the catalog.
+/// Change that is requested from the snapshot catalog.
 pub(super) enum CatalogChange {
     Snapshot { volume: String, name: String },
     Clone { snapshot: String, name: String },
 }
 
 impl CatalogChange {
-    /// The name under which the snapshot or clone is listed.
+    /// Returns the name under which the catalog lists the snapshot or clone.
     pub(super) fn listed_name(&self) -> String {
         match self {
             CatalogChange::Snapshot { volume, name } => format!("{volume}@{name}"),
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The volume whose blocks it shows.
+    /// Returns the name of the volume whose blocks the snapshot or clone shows.
     pub(super) fn volume(&self) -> &str {
         match self {
             CatalogChange::Snapshot { volume, .. } => volume,
@@ -34,25 +34,25 @@
     }
 }
 
-/// A request and its answer.
+/// Request to the snapshot catalog, and its answer.
 pub(super) struct CatalogRequest {
     pub(super) change: CatalogChange,
     pub(super) requested_at: Micros,
     pub(super) answered_at: Micros,
-    /// Logical unit of the snapshot or clone, or why there is none.
+    /// Logical unit number of the snapshot or clone, or the reason why there is none.
     pub(super) lun: Result<u32, CatalogRefusal>,
 }
 
-/// Why a snapshot or clone was not made: the catalog's answer, empty where it names no logical unit.
+/// Reason why a snapshot or clone was not created: the catalog's error, or empty if its answer names no logical unit.
 pub(super) struct CatalogRefusal(pub(super) String);
 
 impl Rehearsal<'_> {
-    /// Sends the catalog a request, in a thread of its own that waits for the answer.
+    /// Sends a request to the catalog, in a separate thread that waits for the answer.
     pub(super) fn request_from_catalog(&mut self, change: CatalogChange) {
         let trace = self.trace.clone();
         let requests = Arc::clone(&self.catalog_requests);
         let socket = self.dir.join("catalog.sock");
-        self.requesters.push(std::thread::spawn(move || {
+        self.request_threads.push(std::thread::spawn(move || {
             let requested_at = trace.now();
             let answer = mallowseam_control_protocol::send_request(&socket, &change.request_line());
             let answered_at = trace.now();
--- a/crates/testbed/src/rehearsal/start.rs
+++ b/crates/testbed/src/rehearsal/start.rs
@@ -1,4 +1,4 @@
-//! Starts the stand-ins and processes of a rehearsal.
+//! Start of the stand-ins and processes of a rehearsal.
 use super::config::{Addresses, config_text};
 use super::hosts::HostProcess;
 use super::selection::SeededOrder;
@@ -20,8 +20,8 @@
 use std::sync::Arc;
 
 impl<'a> Rehearsal<'a> {
-    /// Starts everything in `dir`. The seed draws, in this order: the orders of selectors, each node's speed and
-    /// seed, each host's seed, and the load's seed.
+    /// Starts all stand-ins and processes, with files in `dir`. The seed draws, in this sequence: the orders of selectors,
+    /// each node's speed and seed, each host's seed, and the load's seed.
     pub(super) fn start(
         scenario: &'a Scenario,
         seed: u64,
@@ -51,7 +51,7 @@
             plan_service: None,
             requested_changes: Arc::default(),
             catalog_requests: Arc::default(),
-            requesters: Vec::new(),
+            request_threads: Vec::new(),
             host_addresses: (0..scenario.hosts)
                 .map(|host| addresses.host(host))
                 .collect(),
@@ -90,7 +90,7 @@
         scenario.list_lag,
         trace.clone(),
     )
-    .map_err(RunError::io("node list stand-in"))
+    .map_err(RunError::io("endpoint list stand-in"))
 }
 
 fn start_nodes(
@@ -103,7 +103,7 @@
     let mut nodes = Vec::new();
     for n in 0..scenario.nodes {
         let mut model = scenario.model.clone();
-        // No two machines are alike.
+        // Node machines differ in speed.
         model.unit_work *= rng.random_range(0.85..1.15);
         let target = &config.nodes[n as usize].target;
         let node = Node::start(
@@ -149,7 +149,7 @@
             .rules
             .iter()
             .find(applies)
-            .expect("parsing checks that rules cover a volume");
+            .expect("the parser checks that rules cover every volume");
         config.io_classes[rule.io_class].deadline
     };
     let volume = |volume: &Volume| VolumeTarget {
