--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -87,7 +87,7 @@
     },
     /// Compare clients that access a node directly with clients that access it through a host
     Bench(benchmark::Options),
-    /// Measure the cost of snapshots: writes while they are taken, first writes, reads, and the catalog's size and times
+    /// Measure snapshots: writes while they are taken, first writes, reads, and the catalog's size and times
     BenchSnapshots(snapshot_benchmark::Options),
     /// Run the gateway of this build, as rehearsals start it
     #[command(hide = true)]
@@ -99,8 +99,8 @@
 
 #[derive(clap::Args)]
 struct RehearseOptions {
-    /// Name of a script: bad-day, month-end, tariff-night, demo, short, cold-start, cold-overload, cold-sum or fleet-storm
-    /// (drawn by the seed); or path of a script file (with the suffix .fleet for a fleet's script)
+    /// Name of a script: bad-day, month-end, tariff-night, demo, short, cold-start, cold-overload, cold-sum or
+    /// fleet-storm (drawn by the seed); or path of a script file (with the suffix .fleet for a fleet's script)
     script: String,
     /// Number of hosts that a fleet's script is scaled to, nodes and clients in proportion
     #[arg(long)]
--- a/crates/testbed/src/cli/fleet_rehearsal.rs
+++ b/crates/testbed/src/cli/fleet_rehearsal.rs
@@ -15,8 +15,8 @@
 /// Suffix of files that contain a fleet's script.
 const SCRIPT_SUFFIX: &str = ".fleet";
 
-/// Returns the text of a fleet's script, built in or from a file, or `None` if the name is not that of a fleet's script.
-/// The text of the random script is empty, because each seed draws its own.
+/// Returns the text of a fleet's script, built in or from a file, or `None` if the name is not that of a fleet's
+/// script. The text of the random script is empty, because each seed draws its own.
 pub(super) fn script_text(name: &str) -> Result<Option<String>, Box<dyn Error>> {
     if name == RANDOM_SCRIPT {
         return Ok(Some(String::new()));
--- a/crates/testbed/src/fleet/peers/connections.rs
+++ b/crates/testbed/src/fleet/peers/connections.rs
@@ -378,8 +378,8 @@
     }
 }
 
-/// Returns whether the host's system discarded the last bytes that were sent on an ended connection: the host closed the
-/// connection before the bytes arrived, or left them unread when it closed. In both cases its system sent a reset.
+/// Returns whether the host's system discarded the last bytes that were sent on an ended connection: the host closed
+/// the connection before the bytes arrived, or left them unread when it closed. In both cases its system sent a reset.
 fn is_left_unread(socket: &TcpStream, error: &ConnectionError) -> bool {
     match error {
         // A reset that arrives after the end of the stream is reported as a pending `BrokenPipe` error.
--- a/crates/testbed/src/fleet/peers/discovery.rs
+++ b/crates/testbed/src/fleet/peers/discovery.rs
@@ -11,8 +11,8 @@
 
 /// Interval at which an empty line is sent on every watch, in microseconds.
 const WATCH_KEEP_ALIVE: Micros = 2_000_000;
-/// Time after which an update that was not sent to a host counts as received, in microseconds. It starts when the host's
-/// watch stalled or, without a watch, when the service had the update and could be reached.
+/// Time after which an update that was not sent to a host counts as received, in microseconds. It starts when the
+/// host's watch stalled or, without a watch, when the service had the update and could be reached.
 pub const NOTIFICATION_DEADLINE: Micros = 6_000_000;
 
 /// Update that the service had while a host could not reach the service.
@@ -213,8 +213,8 @@
             && is_intact(list, host)
     }
 
-    /// Records the undelivered updates of hosts that can reach the service again: as sent to hosts with an active watch,
-    /// else as received [`NOTIFICATION_DEADLINE`] from now.
+    /// Records the undelivered updates of hosts that can reach the service again: as sent to hosts with an active
+    /// watch, else as received [`NOTIFICATION_DEADLINE`] from now.
     pub(super) fn settle_undelivered(&mut self) {
         let effective_at = self.now() + NOTIFICATION_DEADLINE;
         let host_of = |index: u32| self.connections.get(index).map(|c| c.host);
@@ -262,8 +262,8 @@
         }
     }
 
-    /// Returns the connections of watches that send updates. A watch whose poll is still queued is not among them: it gets
-    /// all updates when it is served.
+    /// Returns the connections of watches that send updates. A watch whose poll is still queued is not among them: it
+    /// gets all updates when it is served.
     fn active_watches(&self) -> Vec<u32> {
         let is_active = |c: &Connection| {
             matches!(
--- a/crates/testbed/src/fleet/peers/membership.rs
+++ b/crates/testbed/src/fleet/peers/membership.rs
@@ -1,6 +1,6 @@
-//! Datagrams between hosts, and queries of hosts' membership tables. Each host advertises an address at which the testbed
-//! listens. The testbed subjects the datagrams that arrive there to the link's fault, and forwards them from the sender's
-//! advertised address.
+//! Datagrams between hosts, and queries of hosts' membership tables. Each host advertises an address at which the
+//! testbed listens. The testbed subjects the datagrams that arrive there to the link's fault, and forwards them from
+//! the sender's advertised address.
 use super::{SimulatedPeers, Timer};
 use crate::fleet::addresses::Addresses;
 use crate::fleet::error::TestbedError;
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! Host processes, each with its own address, configuration and limits. They are signalled by process id, and all of them
-//! are killed when the owner is dropped, even if a test panics.
+//! Host processes, each with its own address, configuration and limits. They are signalled by process id, and all of
+//! them are killed when the owner is dropped, even if a test panics.
 use super::error::TestbedError;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Returns the hosts that have exited since the last call, with their exit codes (-1 if a signal ended the process).
+    /// Returns the hosts that have exited since the last call, with their exit codes (-1 if a signal ended the
+    /// process).
     pub(crate) fn reap_exited(&mut self) -> Vec<(u32, i32)> {
         let mut exited = Vec::new();
         for (host, slot) in self.children.iter_mut().enumerate() {
--- a/crates/testbed/src/fleet/soak.rs
+++ b/crates/testbed/src/fleet/soak.rs
@@ -1,5 +1,5 @@
-//! Soak test: many short scenarios, each drawn by its seed, several of them played concurrently. Each violation of a rule
-//! is a finding, reported with the history of the request or process that it concerns.
+//! Soak test: many short scenarios, each drawn by its seed, several of them played concurrently. Each violation of a
+//! rule is a finding, reported with the history of the request or process that it concerns.
 use super::error::TestbedError;
 use super::history;
 use super::outcome::Outcome;
@@ -117,8 +117,8 @@
     }
 }
 
-/// Returns the time from start to readiness for each start of a host, or `None` if the host was not ready by its stop or
-/// the end of the run. Starts without readiness that lasted no longer than [`READY_DEADLINE`] are left out.
+/// Returns the time from start to readiness for each start of a host, or `None` if the host was not ready by its stop
+/// or the end of the run. Starts without readiness that lasted no longer than [`READY_DEADLINE`] are left out.
 fn ready_times(observations: &[Observation]) -> Vec<Option<Micros>> {
     let mut starting: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut times = Vec::new();
--- a/crates/testbed/src/fleet/testbed.rs
+++ b/crates/testbed/src/fleet/testbed.rs
@@ -18,8 +18,8 @@
 /// Time after a run in which requests in flight may complete, and then again for hosts to exit. Longer than the longest
 /// deadline of a request.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time after SIGTERM and the longest deadline of a request at which a host is killed, in microseconds; as on the users'
-/// platform.
+/// Time after SIGTERM and the longest deadline of a request at which a host is killed, in microseconds; as on the
+/// users' platform.
 const KILL_DELAY: Micros = 700_000;
 /// Upper bound of the longest deadline in the computation of the time at which a host is killed, in microseconds.
 const MAX_LONGEST_DEADLINE: Micros = 3_000_000;
@@ -85,7 +85,8 @@
 }
 
 impl Testbed {
-    /// Opens the sockets of all peers, without starting any host. Configurations and logs of hosts are written to `dir`.
+    /// Opens the sockets of all peers, without starting any host. Configurations and logs of hosts are written to
+    /// `dir`.
     ///
     /// # Errors
     /// A socket cannot be opened.
--- a/crates/testbed/src/rehearsal/hosts.rs
+++ b/crates/testbed/src/rehearsal/hosts.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Waits for a terminated host to exit. Another exit code than 0 is recorded as a failure, and so is a timeout, after
-    /// which the host is killed.
+    /// Waits for a terminated host to exit. Another exit code than 0 is recorded as a failure, and so is a timeout,
+    /// after which the host is killed.
     pub(super) fn await_host_exit(&mut self, n: u32) {
         let Some(mut child) = self.hosts[n as usize].child.take() else {
             return;
@@ -94,8 +94,8 @@
         self.trace.record(TraceEvent::HostDown { host: n });
     }
 
-    /// Runs `verify` twice to compare the catalog with the nodes. The first run may find slots that killed hosts leaked,
-    /// and reclaims them; the second run must find none.
+    /// Runs `verify` twice to compare the catalog with the nodes. The first run may find slots that killed hosts
+    /// leaked, and reclaims them; the second run must find none.
     pub(super) fn verify(&mut self, report: &mut super::SnapshotReport) {
         for reclaim in [true, false] {
             let mut command = self.program.command();
--- a/crates/testbed/src/rehearsal/read_back.rs
+++ b/crates/testbed/src/rehearsal/read_back.rs
@@ -1,4 +1,5 @@
-//! Check of snapshots and clones at the end of a rehearsal: reads them, writes to the clones, and reads all of them again.
+//! Check of snapshots and clones at the end of a rehearsal: reads them, writes to the clones, and reads all of them
+//! again.
 use super::snapshots::{CatalogChange, CatalogRefusal, CatalogRequest};
 use super::{Rehearsal, SnapshotReport, TARGET};
 use crate::blocking_client::{Answer, BlockingClient, ClientError};
@@ -196,8 +197,8 @@
             .map_or(0, |v| v.block_count)
     }
 
-    /// Reads a snapshot a second time, after the writes to its clones, and compares it with the first reading. The audit
-    /// checks the second reading.
+    /// Reads a snapshot a second time, after the writes to its clones, and compares it with the first reading. The
+    /// audit checks the second reading.
     fn read_again(
         &mut self,
         client: &mut BlockingClient,
--- a/crates/testbed/src/rehearsal/start.rs
+++ b/crates/testbed/src/rehearsal/start.rs
@@ -20,8 +20,8 @@
 use std::sync::Arc;
 
 impl<'a> Rehearsal<'a> {
-    /// Starts all stand-ins and processes, with files in `dir`. The seed draws, in this sequence: the orders of selectors,
-    /// each node's speed and seed, each host's seed, and the load's seed.
+    /// Starts all stand-ins and processes, with files in `dir`. The seed draws, in this sequence: the orders of
+    /// selectors, each node's speed and seed, each host's seed, and the load's seed.
     pub(super) fn start(
         scenario: &'a Scenario,
         seed: u64,
--- a/crates/testbed/src/snapshot_benchmark.rs
+++ b/crates/testbed/src/snapshot_benchmark.rs
@@ -1,5 +1,5 @@
-//! Benchmark of snapshots. One part measures over sockets: writes while snapshots are taken, first writes after them, and
-//! reads, with few and with many snapshots. The other part measures the catalog alone, at larger sizes.
+//! Benchmark of snapshots. One part measures over sockets: writes while snapshots are taken, first writes after them,
+//! and reads, with few and with many snapshots. The other part measures the catalog alone, at larger sizes.
 mod catalog;
 mod sockets;
 
--- a/crates/testbed/src/snapshot_benchmark/catalog.rs
+++ b/crates/testbed/src/snapshot_benchmark/catalog.rs
@@ -139,8 +139,8 @@
     ))
 }
 
-/// Measures a volume that is written in full: size and times of the catalog, and the time that a host takes to replicate
-/// it.
+/// Measures a volume that is written in full: size and times of the catalog, and the time that a host takes to
+/// replicate it.
 pub(super) fn measure_full() -> Result<String, RunError> {
     let dir = temporary_directory()?;
     fill(dir.path())?;
@@ -165,8 +165,8 @@
         bytes,
     } = replication;
     Ok(format!(
-        "catalog, 1 TiB written in full ({EXTENTS} locations): {mib} MiB, opened in {open_ms:.0} ms; a cut committed in \
-         {snapshot_ms:.2} ms, a snapshot deleted in {deletion_ms:.2} ms; a host replicates it in {total_ms:.0} ms, \
+        "catalog, 1 TiB written in full ({EXTENTS} locations): {mib} MiB, opened in {open_ms:.0} ms; a cut committed \
+         in {snapshot_ms:.2} ms, a snapshot deleted in {deletion_ms:.2} ms; a host replicates it in {total_ms:.0} ms, \
          {longest_ms:.2} ms at most at once, {} MiB on the wire\n",
         bytes >> 20
     ))
--- a/crates/testbed/src/snapshot_benchmark/sockets.rs
+++ b/crates/testbed/src/snapshot_benchmark/sockets.rs
@@ -34,8 +34,8 @@
 const NEAR_SNAPSHOT: Duration = Duration::from_millis(20);
 /// Number in the name of the first snapshot taken under load, above those of the other snapshots.
 const FIRST_LOADED_SNAPSHOT: u32 = 100_000;
-/// Multiplier of the number of snapshots taken before a measurement in the number of the measurement's first snapshot. It
-/// keeps the names of different measurements' snapshots distinct.
+/// Multiplier of the number of snapshots taken before a measurement in the number of the measurement's first snapshot.
+/// It keeps the names of different measurements' snapshots distinct.
 const SNAPSHOTS_PER_MEASUREMENT: u32 = 1_000;
 /// Time in which a started process must answer on its control socket.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
