--- a/crates/testbed/tests/allocations.rs
+++ b/crates/testbed/tests/allocations.rs
@@ -1,4 +1,5 @@
-//! The ordinary path allocates nothing beyond data buffers: counted on the host's own thread.
+//! Memory allocations of a block I/O, counted on the host's thread. Guards against a change that allocates more on the
+//! path of every block I/O than the buffer for its data.
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
 use mallowseam_control_protocol::send_request;
@@ -8,14 +9,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Runs a host on a thread of its own for this many reads or writes; the number of allocations of that thread.
+/// Runs a host on a separate thread, performs `ios` reads or writes through it, and returns the number of allocations
+/// on that thread.
 fn allocations(run: u8, write: bool, ios: u64) -> u64 {
     let pid = std::process::id();
     let address = |n| SocketAddr::from(([127, 252, pid as u8, run * 4 + n], 3260));
     let model = ServiceModel::warm(8, 0.0, 64);
-    let _node =
-        Node::start(0, address(1), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
-    let dir = tempfile::tempdir().expect("a directory");
+    let _node = Node::start(0, address(1), "iqn.t:node0", model, Trace::disabled(), 1)
+        .expect("cannot start the stand-in node");
+    let dir = tempfile::tempdir().expect("cannot create a temporary directory");
     let control = dir.path().join("sock");
     let text = format!(
         "host gw0\n  listen {}\n  target iqn.t:g\n  control \"{}\"\n  node-list static\n  window 8\n  \
@@ -27,10 +29,10 @@
         control.display(),
         address(1)
     );
-    let site = mallowseam_settings::parse("conf", &text).expect("sound");
+    let site = mallowseam_settings::parse("conf", &text).expect("invalid configuration");
     let host = std::thread::spawn(move || {
         let counted =
-            allocation_counter::measure(|| mallowseam_iscsi_host::run(site).expect("a run"));
+            allocation_counter::measure(|| mallowseam_iscsi_host::run(site).expect("host failed"));
         counted.count_total
     });
     let mut client = loop {
@@ -52,24 +54,27 @@
                 room,
                 data,
             )
-            .expect("an answer");
+            .expect("no answer to the request");
         assert_eq!(answer.status, status::GOOD);
     }
     client.conn.send_logout_request();
-    client.flush().expect("sent");
-    send_request(&control, "stop").expect("told");
-    host.join().expect("a host")
+    client.flush().expect("cannot send to the host");
+    send_request(&control, "stop").expect("cannot stop the host");
+    host.join().expect("host thread panicked")
 }
 
 #[test]
 fn block_io_allocates_its_data_buffers_only() {
-    // A read: the buffer that takes its data. A write: the same, and the reference count of it.
-    // Collections that grow do so ever more seldom.
-    for (run, write, most) in [(1, false, 1.05), (3, true, 2.05)] {
-        let few = allocations(run, write, 2_000);
-        let many = allocations(run + 1, write, 12_000);
-        let each = many.saturating_sub(few) as f64 / 10_000.0;
-        println!("write {write}: {each:.4} allocations a block I/O");
-        assert!(each < most, "write {write}: {each} allocations a block I/O");
+    // A read allocates the buffer for its data; a write also allocates the buffer's reference count. The rest is the
+    // growth of collections, which becomes rarer as they grow.
+    for (run, write, limit) in [(1, false, 1.05), (3, true, 2.05)] {
+        let baseline = allocations(run, write, 2_000);
+        let total = allocations(run + 1, write, 12_000);
+        let each = total.saturating_sub(baseline) as f64 / 10_000.0;
+        println!("write {write}: {each:.4} allocations per block I/O");
+        assert!(
+            each < limit,
+            "write {write}: {each} allocations per block I/O"
+        );
     }
 }
--- a/crates/testbed/tests/fleet/closed_connections.rs
+++ b/crates/testbed/tests/fleet/closed_connections.rs
@@ -1,5 +1,6 @@
-//! Requests on connections that the host closes: which of them count as lost. The host is played by the test, on the
-//! address of the first host.
+//! Requests on connections that a host closes, and which of them count as lost. The test simulates the host at the
+//! address of the first host. Guards against an audit that excuses lost requests, or reports requests that a client may
+//! resend.
 use crate::support::{changed, wait_for};
 use mallowseam_audit::fleet::Rule;
 use mallowseam_audit::fleet::record::{Event, Observation};
@@ -11,19 +12,21 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
+/// Response of a host that is ready.
 const READY: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+/// Response of a host that sheds a request.
 const SHED: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// What the played host does with the request that it does not answer.
+/// Handling of the request to which the simulated host does not respond.
 #[derive(Clone, Copy)]
-enum End {
-    /// It closes the connection with the request unread.
+enum UnansweredRequest {
+    /// The host closes the connection with the request unread.
     Unread,
-    /// It reads the request, and closes the connection.
+    /// The host reads the request, then closes the connection.
     Read,
 }
 
-/// Reads one request without a body, or with the body that clients send.
+/// Reads one request, with the body that clients send or without any. Returns `None` if the connection ends before.
 fn read_request(stream: &mut TcpStream) -> Option<()> {
     let mut received = Vec::new();
     let mut buffer = [0; 4_096];
@@ -34,27 +37,34 @@
     Some(())
 }
 
-/// Refuses requests on a connection until it ends.
-fn refuse_requests(stream: &mut TcpStream) {
+/// Sheds all requests on a connection until the connection ends.
+fn shed_requests(stream: &mut TcpStream) {
     while read_request(stream).is_some() && stream.write_all(SHED).is_ok() {}
 }
 
-/// Answers the readiness check, refuses `refused` requests on the first connection of a client, and ends that connection
-/// at the next request. Then refuses everything, until it is stopped.
-fn play_host(listener: &TcpListener, refused: usize, end: End, stopped: &AtomicBool) {
-    let accept = || listener.accept().expect("a client").0;
+/// Responds to the readiness check, sheds `shed` requests on the first client connection, and closes that connection at
+/// the next request. Then sheds all requests until stopped.
+fn simulate_host(
+    listener: &TcpListener,
+    shed: usize,
+    unanswered: UnansweredRequest,
+    stopped: &AtomicBool,
+) {
+    let accept = || listener.accept().expect("cannot accept a connection").0;
     let mut readiness = accept();
-    read_request(&mut readiness).expect("a readiness check");
-    readiness.write_all(READY).expect("a client");
+    read_request(&mut readiness).expect("no readiness check");
+    readiness
+        .write_all(READY)
+        .expect("cannot respond to the readiness check");
     let mut first = accept();
-    for _ in 0..refused {
-        read_request(&mut first).expect("a request");
-        first.write_all(SHED).expect("a client");
+    for _ in 0..shed {
+        read_request(&mut first).expect("no request on the first connection");
+        first.write_all(SHED).expect("cannot respond to a request");
     }
-    match end {
-        // Waits until the request stands in the socket.
-        End::Unread => drop(first.peek(&mut [0])),
-        End::Read => drop(read_request(&mut first)),
+    match unanswered {
+        // Waits until the request has arrived at the socket.
+        UnansweredRequest::Unread => drop(first.peek(&mut [0])),
+        UnansweredRequest::Read => drop(read_request(&mut first)),
     }
     drop(first);
     loop {
@@ -62,11 +72,11 @@
         if stopped.load(Ordering::Relaxed) {
             return;
         }
-        std::thread::spawn(move || refuse_requests(&mut stream));
+        std::thread::spawn(move || shed_requests(&mut stream));
     }
 }
 
-/// A process without sockets, in place of the host's.
+/// Returns a program without sockets that runs in place of the host's process.
 fn idle_program() -> Program {
     Program {
         path: "sleep".into(),
@@ -74,41 +84,47 @@
     }
 }
 
-/// A run before the played host, until clients have lost a connection and gone on.
-fn outcome_with_host(refused: usize, end: End) -> Outcome {
+/// Runs clients against the simulated host until they have lost a connection and received further responses.
+fn outcome_with_host(shed: usize, unanswered: UnansweredRequest) -> Outcome {
     let scenario = changed(&[
         ("hosts 5 known now", "hosts 1 known now"),
         ("zones 2", "zones 1"),
     ]);
-    let dir = tempfile::tempdir().expect("a directory");
-    let mut testbed = Testbed::open(&scenario, 1, &idle_program(), dir.path()).expect("a testbed");
+    let dir = tempfile::tempdir().expect("cannot create a temporary directory");
+    let mut testbed =
+        Testbed::open(&scenario, 1, &idle_program(), dir.path()).expect("cannot open the testbed");
     let address = testbed.peers.addresses.host(0);
-    let listener = TcpListener::bind(address).expect("its address");
+    let listener = TcpListener::bind(address).expect("cannot bind the host's address");
     let stopped = Arc::new(AtomicBool::new(false));
     let host = std::thread::spawn({
         let stopped = stopped.clone();
-        move || play_host(&listener, refused, end, &stopped)
+        move || simulate_host(&listener, shed, unanswered, &stopped)
     });
-    testbed.start(0).expect("a process");
+    testbed.start(0).expect("cannot start the process");
     testbed.peers.set_clients_active(true);
-    wait_for(&mut testbed, "a connection has ended", |testbed| {
-        let ended_at = testbed.peers.observations.iter().position(|o| {
-            matches!(
-                o.event,
-                Event::ConnectionLost { .. } | Event::RequestNotTaken { .. }
-            )
-        });
-        ended_at.is_some_and(|at| {
-            let later = &testbed.peers.observations[at..];
-            let is_response = |o: &&Observation| matches!(o.event, Event::ResponseReceived { .. });
-            later.iter().filter(is_response).count() >= 3
-        })
-    });
-    // Its address is free again before another run may claim it.
+    wait_for(
+        &mut testbed,
+        "clients get responses after a connection has ended",
+        |testbed| {
+            let ended_at = testbed.peers.observations.iter().position(|o| {
+                matches!(
+                    o.event,
+                    Event::ConnectionLost { .. } | Event::RequestNotTaken { .. }
+                )
+            });
+            ended_at.is_some_and(|at| {
+                let later = &testbed.peers.observations[at..];
+                let is_response =
+                    |o: &&Observation| matches!(o.event, Event::ResponseReceived { .. });
+                later.iter().filter(is_response).count() >= 3
+            })
+        },
+    );
+    // Ends the simulated host, so that its address is free before another run claims it.
     testbed.peers.set_clients_active(false);
     stopped.store(true, Ordering::Relaxed);
-    drop(TcpStream::connect(address).expect("it listens"));
-    host.join().expect("no panic");
+    drop(TcpStream::connect(address).expect("cannot connect to the simulated host"));
+    host.join().expect("thread panicked");
     testbed.finish()
 }
 
@@ -118,21 +134,21 @@
 
 #[test]
 fn a_request_left_unread_at_the_close_of_an_idle_connection_is_sent_once_more() {
-    let outcome = outcome_with_host(2, End::Unread);
+    let outcome = outcome_with_host(2, UnansweredRequest::Unread);
     assert_eq!(outcome.verdict.not_taken, 1);
     assert!(!is_response_lost(&outcome), "{:?}", outcome.violations());
 }
 
 #[test]
 fn a_request_that_was_read_before_the_close_is_lost() {
-    let outcome = outcome_with_host(2, End::Read);
+    let outcome = outcome_with_host(2, UnansweredRequest::Read);
     assert_eq!(outcome.verdict.not_taken, 0);
     assert!(is_response_lost(&outcome));
 }
 
 #[test]
 fn the_first_request_of_a_connection_is_lost_with_it() {
-    let outcome = outcome_with_host(0, End::Unread);
+    let outcome = outcome_with_host(0, UnansweredRequest::Unread);
     assert_eq!(outcome.verdict.not_taken, 0);
     assert!(is_response_lost(&outcome));
 }
--- a/crates/testbed/tests/fleet/cold_start.rs
+++ b/crates/testbed/tests/fleet/cold_start.rs
@@ -1,4 +1,6 @@
-//! Hosts that start together, and nodes that start cold.
+//! Start of many hosts at once, and nodes that start cold. Guards against a thundering herd of polls, updates lost in a
+//! partition, nodes whose few connections serve only some hosts, and cold nodes that collapse from the sum of all
+//! hosts' load.
 use crate::support::{assert_clean, changed, finish, open, play, program, wait_for};
 use mallowseam_scenarios::builtin;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
@@ -7,22 +9,22 @@
 #[test]
 fn hosts_that_start_at_once_poll_once_each_and_serve() {
     let (mut testbed, _dir) = open(&changed(&[]), 1);
-    testbed.start_all().expect("processes");
-    wait_for(&mut testbed, "all are ready", |testbed| {
+    testbed.start_all().expect("cannot start the hosts");
+    wait_for(&mut testbed, "all hosts are ready", |testbed| {
         (0..5).all(|h| testbed.peers.is_ready(h))
     });
     testbed.peers.set_clients_active(true);
-    wait_for(&mut testbed, "all watch", |testbed| {
+    wait_for(&mut testbed, "all hosts have a watch", |testbed| {
         testbed.peers.watch_count() == 5
     });
     let from = testbed.peers.now();
     testbed.run_until(from + 2_000_000);
     let verdict = finish(testbed).verdict;
     assert_eq!((verdict.polls, verdict.list_delays.len()), (5, 5));
-    // Token buckets of limits are empty at first, and a third of the volumes has one.
+    // A third of the volumes has a limit, with a token bucket that is empty at first.
     assert!(
         verdict.served * 10 > verdict.requests * 6,
-        "{} of {}",
+        "{} of {} requests served",
         verdict.served,
         verdict.requests
     );
@@ -31,18 +33,18 @@
 #[test]
 fn a_host_partitioned_from_discovery_receives_updates_after_the_partition_heals() {
     let (mut testbed, _dir) = open(&changed(&[]), 2);
-    testbed.start_all().expect("processes");
-    wait_for(&mut testbed, "all watch", |testbed| {
+    testbed.start_all().expect("cannot start the hosts");
+    wait_for(&mut testbed, "all hosts have a watch", |testbed| {
         testbed.peers.watch_count() == 5
     });
     testbed.peers.set_clients_active(true);
-    let cut = LinkFault {
+    let blackhole = LinkFault {
         blackholed: true,
         ..LinkFault::default()
     };
     testbed
         .peers
-        .set_link(PeerSet::Lists, PeerSet::Single(Peer::Host(2)), cut);
+        .set_link(PeerSet::Lists, PeerSet::Single(Peer::Host(2)), blackhole);
     testbed.peers.stop_node(0);
     testbed.peers.start_node(0);
     let version = testbed.peers.version() + 2;
@@ -50,19 +52,19 @@
         |testbed: &mut Testbed, host: u32| testbed.peers.last_version_sent(host) >= version;
     wait_for(
         &mut testbed,
-        "the others have received the update",
+        "the other hosts have received the update",
         |testbed| [0, 1, 3, 4].iter().all(|h| received(testbed, *h)),
     );
     assert!(
         !received(&mut testbed, 2) || testbed.peers.has_discovery_bytes_in_flight(2),
-        "one direction is cut"
+        "host 2 has received the update although the direction from the service is cut"
     );
     testbed.peers.set_link(
         PeerSet::Lists,
         PeerSet::Single(Peer::Host(2)),
         LinkFault::default(),
     );
-    wait_for(&mut testbed, "it has received the update", |testbed| {
+    wait_for(&mut testbed, "host 2 has received the update", |testbed| {
         received(testbed, 2) && !testbed.peers.has_discovery_bytes_in_flight(2)
     });
     finish(testbed);
@@ -70,20 +72,20 @@
 
 #[test]
 fn nodes_with_fewer_connections_than_hosts_serve_every_host_repeatedly() {
-    let few = [
+    let few_connections = [
         ("hosts 5", "hosts 10"),
         ("lines 64 1ms", "lines 4 1ms"),
         ("rate 60/s", "rate 80/s"),
     ];
-    let (mut testbed, _dir) = open(&changed(&few), 3);
-    testbed.start_all().expect("processes");
-    wait_for(&mut testbed, "all watch", |testbed| {
+    let (mut testbed, _dir) = open(&changed(&few_connections), 3);
+    testbed.start_all().expect("cannot start the hosts");
+    wait_for(&mut testbed, "all hosts have a watch", |testbed| {
         testbed.peers.watch_count() == 10
     });
     testbed.peers.set_clients_active(true);
     let from = testbed.peers.now();
     testbed.run_until(from + 5_000_000);
-    // From here on, hosts must give connections up for others.
+    // All connections are in use by now, so that hosts must release connections to others.
     let mark = testbed.peers.observations.len();
     let served = |testbed: &Testbed, node: u32, host: u32| {
         testbed
@@ -95,7 +97,7 @@
     };
     wait_for(
         &mut testbed,
-        "every host is served by every node, twice",
+        "every node serves every host twice",
         |testbed| (0..3).all(|node| (0..10).all(|host| served(testbed, node, host))),
     );
     finish(testbed);
@@ -116,7 +118,7 @@
         ),
     ];
     let (mut testbed, _dir) = open(&changed(&cold), 4);
-    testbed.start_all().expect("processes");
+    testbed.start_all().expect("cannot start the hosts");
     testbed.peers.set_clients_active(true);
     let from = testbed.peers.now();
     testbed.run_until(from + 8_000_000);
@@ -124,23 +126,27 @@
     assert_eq!(outcome.verdict.collapses, 0);
     assert!(
         outcome.peak_cold_load > 0.1 && outcome.peak_cold_load < 1.0,
-        "{}",
+        "peak load on a cold node: {}",
         outcome.peak_cold_load
     );
     let late = &outcome.verdict.timeline[6..8];
-    assert!(late.iter().all(|l| l.served > 10), "they serve: {late:?}");
+    assert!(
+        late.iter().all(|l| l.served > 10),
+        "cold nodes serve too few requests: {late:?}"
+    );
 }
 
 #[test]
 fn the_sum_of_24_hosts_does_not_overload_cold_nodes_when_some_are_late_killed_or_uninformed() {
-    let text = builtin::fleet("cold-sum").expect("a script");
+    let text = builtin::fleet("cold-sum").expect("no built-in script of this name");
     let outcome = play(text, 7, &program());
     assert_clean(&outcome);
     assert_eq!(outcome.verdict.collapses, 0);
-    // Random variation may add twice the root of what a node sustains; the simulated nodes allow for none of it.
+    // Random variation may add twice the square root of the load that a node sustains. The simulated nodes make no
+    // allowance for it.
     assert!(
         outcome.peak_cold_load > 0.3 && outcome.peak_cold_load < 1.0,
-        "{}",
+        "peak load on a cold node: {}",
         outcome.peak_cold_load
     );
 }
--- a/crates/testbed/tests/fleet/main.rs
+++ b/crates/testbed/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Several host processes, with faults on the links between them and their peers.
+//! Tests of several host processes, with faults on the links between the hosts and their peers.
 mod closed_connections;
 mod cold_start;
 mod discovery_outages;
--- a/crates/testbed/tests/fleet/membership.rs
+++ b/crates/testbed/tests/fleet/membership.rs
@@ -1,4 +1,6 @@
-//! Membership of host processes with faults between them, as each host's own table shows it.
+//! Membership of host processes with faults between them, according to each host's own membership table. Guards against
+//! members that are wrongly unreachable, tables that do not converge after faults, and name conflicts that are not
+//! resolved.
 use crate::support::{changed, finish, open, wait_for};
 use mallowseam_audit::membership::MembershipSample;
 use mallowseam_fleet::MemberState;
@@ -7,7 +9,7 @@
 use mallowseam_testbed::fleet::testbed::Testbed;
 use std::net::SocketAddr;
 
-/// The small fleet with membership: periods of 100 ms, so that a suspicion lasts half a second to one and a half.
+/// Returns the small fleet with membership. With its protocol periods of 100 ms, a suspicion lasts 0.5 s to 1.5 s.
 fn with_membership(hosts: u32) -> Scenario {
     let hosts = format!("hosts {hosts} known now");
     changed(&[
@@ -16,7 +18,7 @@
     ])
 }
 
-/// The state of another host in the last table that a host reported.
+/// Returns the state of another host in the last membership table that a host reported.
 fn observed_state(testbed: &Testbed, host: u32, other: u32) -> Option<MemberState> {
     let name = format!("n{}", testbed.peers.name_numbers[other as usize]);
     testbed
@@ -35,17 +37,17 @@
     }
 }
 
-/// Queries the observers until each has each of the others in this state.
+/// Queries the membership tables of the observers until each has each of the other hosts in a state.
 fn wait_until_all_see(
     testbed: &mut Testbed,
-    what: &str,
+    condition: &str,
     observers: &[u32],
     others: &[u32],
     state: MemberState,
 ) {
-    // A table that was requested before may be that of an earlier process.
+    // A table from an earlier query may be that of an earlier process.
     let from = testbed.peers.now();
-    wait_for(testbed, what, |testbed| {
+    wait_for(testbed, condition, |testbed| {
         query_membership(testbed, observers);
         let fresh = |h: &u32| {
             testbed
@@ -62,26 +64,27 @@
     });
 }
 
-fn wait_until_all_alive(testbed: &mut Testbed, what: &str, hosts: &[u32]) {
-    wait_until_all_see(testbed, what, hosts, hosts, MemberState::Alive);
+fn wait_until_all_alive(testbed: &mut Testbed, condition: &str, hosts: &[u32]) {
+    wait_until_all_see(testbed, condition, hosts, hosts, MemberState::Alive);
 }
 
-/// Starts hosts, and waits until all of them see each other.
+/// Starts hosts, and waits until all of them see each other as alive.
 fn start_and_wait(testbed: &mut Testbed, hosts: &[u32]) {
     for host in hosts {
-        testbed.start(*host).expect("a process");
+        testbed.start(*host).expect("cannot start the process");
     }
-    wait_until_all_alive(testbed, "all see all", hosts);
+    wait_until_all_alive(testbed, "all hosts see each other as alive", hosts);
 }
 
+/// Opens a testbed, starts hosts, and waits until all of them see each other as alive.
 fn started(scenario: &Scenario, seed: u64, hosts: &[u32]) -> (Testbed, tempfile::TempDir) {
     let (mut testbed, dir) = open(scenario, seed);
     start_and_wait(&mut testbed, hosts);
     (testbed, dir)
 }
 
-/// A running fleet of five, and a sixth host that has not started and has the name of the fourth.
-fn started_with_a_namesake(seed: u64) -> (Testbed, tempfile::TempDir) {
+/// Returns a running fleet of five, with a sixth host that is not started and has the same name as the fourth.
+fn started_with_name_conflict(seed: u64) -> (Testbed, tempfile::TempDir) {
     let (mut testbed, dir) = open(&with_membership(6), seed);
     testbed.peers.name_numbers[5] = 3;
     start_and_wait(&mut testbed, &FIVE);
@@ -95,16 +98,21 @@
     testbed.kill(3);
     wait_until_all_see(
         &mut testbed,
-        "a kill",
+        "the killed host is unreachable",
         &[0, 1, 2, 4],
         &[3],
         MemberState::Unreachable,
     );
-    testbed.start(3).expect("a process");
-    wait_until_all_alive(&mut testbed, "a start", &[0, 1, 2, 3, 4]);
+    testbed.start(3).expect("cannot start the process");
+    wait_until_all_alive(
+        &mut testbed,
+        "the restarted host is alive",
+        &[0, 1, 2, 3, 4],
+    );
     finish(testbed);
 }
 
+/// Hosts of a fleet of five.
 const FIVE: [u32; 5] = [0, 1, 2, 3, 4];
 
 fn set_blackholed(testbed: &mut Testbed, from: u32, to: u32, blackholed: bool) {
@@ -119,12 +127,12 @@
     );
 }
 
-/// Cuts both directions between the pairs that are to be apart, and heals all others.
-fn partition(testbed: &mut Testbed, hosts: u32, apart: impl Fn(u32, u32) -> bool) {
+/// Cuts both directions between the pairs of hosts that `is_cut` names, and heals all other links between hosts.
+fn partition(testbed: &mut Testbed, hosts: u32, is_cut: impl Fn(u32, u32) -> bool) {
     for a in 0..hosts {
         (0..hosts)
             .filter(|b| *b != a)
-            .for_each(|b| set_blackholed(testbed, a, b, apart(a, b)));
+            .for_each(|b| set_blackholed(testbed, a, b, is_cut(a, b)));
     }
 }
 
@@ -133,7 +141,7 @@
     let (mut testbed, _dir) = started(&with_membership(5), 2, &FIVE);
     testbed.terminate(3);
     let from = testbed.peers.now();
-    wait_for(&mut testbed, "leaving", |testbed| {
+    wait_for(&mut testbed, "the terminated host is leaving", |testbed| {
         query_membership(testbed, &[0, 1, 2, 4]);
         [0, 1, 2, 4].iter().all(|h| {
             matches!(
@@ -143,39 +151,49 @@
         })
     });
     let elapsed = testbed.peers.now() - from;
-    assert!(elapsed < 650_000, "{elapsed}");
-    wait_until_all_see(&mut testbed, "left", &[0, 1, 2, 4], &[3], MemberState::Left);
+    assert!(elapsed < 650_000, "seen as leaving after {elapsed} us");
+    wait_until_all_see(
+        &mut testbed,
+        "the terminated host has left",
+        &[0, 1, 2, 4],
+        &[3],
+        MemberState::Left,
+    );
     finish(testbed);
 }
 
 #[test]
 fn a_member_that_returns_at_another_address_replaces_its_old_record() {
-    let (mut testbed, _dir) = started_with_a_namesake(3);
+    let (mut testbed, _dir) = started_with_name_conflict(3);
     testbed.kill(3);
-    testbed.start(5).expect("a process");
+    testbed.start(5).expect("cannot start the process");
     let address = testbed.peers.addresses.membership_advertise(5);
-    wait_for(&mut testbed, "at its new address", |testbed| {
-        query_membership(testbed, &[0, 1, 2, 4]);
-        let there = |h: &u32| {
-            testbed.peers.last_view(*h).is_some_and(|v| {
-                v.table
-                    .members
-                    .iter()
-                    .any(|m| m.record.address == address && m.state == MemberState::Alive)
-            })
-        };
-        [0, 1, 2, 4].iter().all(there)
-    });
+    wait_for(
+        &mut testbed,
+        "the host is alive at its new address",
+        |testbed| {
+            query_membership(testbed, &[0, 1, 2, 4]);
+            let there = |h: &u32| {
+                testbed.peers.last_view(*h).is_some_and(|v| {
+                    v.table
+                        .members
+                        .iter()
+                        .any(|m| m.record.address == address && m.state == MemberState::Alive)
+                })
+            };
+            [0, 1, 2, 4].iter().all(there)
+        },
+    );
     let members = testbed.peers.last_view(0).map(|v| v.table.members.len());
-    assert_eq!(members, Some(5), "one member by that name");
+    assert_eq!(members, Some(5), "number of members with distinct names");
     finish(testbed);
 }
 
 #[test]
-fn on_a_name_conflict_the_earlier_process_is_superseded_and_serves_on() {
-    let (mut testbed, dir) = started_with_a_namesake(4);
+fn on_a_name_conflict_the_earlier_process_is_superseded_and_continues_to_serve() {
+    let (mut testbed, dir) = started_with_name_conflict(4);
     testbed.peers.set_clients_active(true);
-    testbed.start(5).expect("a process");
+    testbed.start(5).expect("cannot start the process");
     wait_for(
         &mut testbed,
         "the earlier process is superseded",
@@ -188,20 +206,28 @@
         },
     );
     let mark = testbed.peers.observations.len();
-    wait_for(&mut testbed, "it serves on", |testbed| {
-        testbed
-            .peers
-            .executed_since(mark)
-            .any(|(_, host)| host == 3)
-    });
+    wait_for(
+        &mut testbed,
+        "the earlier process still serves requests",
+        |testbed| {
+            testbed
+                .peers
+                .executed_since(mark)
+                .any(|(_, host)| host == 3)
+        },
+    );
     testbed.peers.query_membership(5);
-    wait_for(&mut testbed, "the later process stays", |testbed| {
-        testbed
-            .peers
-            .last_view(5)
-            .is_some_and(|v| !v.table.superseded)
-    });
-    let log = std::fs::read_to_string(dir.path().join("h3.log")).expect("a log");
+    wait_for(
+        &mut testbed,
+        "the later process is not superseded",
+        |testbed| {
+            testbed
+                .peers
+                .last_view(5)
+                .is_some_and(|v| !v.table.superseded)
+        },
+    );
+    let log = std::fs::read_to_string(dir.path().join("h3.log")).expect("cannot read the log");
     assert!(
         log.contains("name conflict: a process that started later has this host's name"),
         "{log}"
@@ -215,14 +241,18 @@
     testbed.set_paused(2, true);
     wait_until_all_see(
         &mut testbed,
-        "a pause longer than any suspicion",
+        "the paused host is unreachable after the longest suspicion",
         &[0, 1, 3, 4],
         &[2],
         MemberState::Unreachable,
     );
     testbed.set_paused(2, false);
     let mark = testbed.peers.membership.samples.len();
-    wait_until_all_alive(&mut testbed, "all see all again", &FIVE);
+    wait_until_all_alive(
+        &mut testbed,
+        "all hosts see each other as alive again",
+        &FIVE,
+    );
     let wrong = testbed.peers.membership.samples[mark..]
         .iter()
         .filter(|v| v.host == 2);
@@ -234,7 +264,7 @@
                 .count()
         })
         .sum();
-    assert_eq!(wrong, 0, "the paused host holds others unreachable");
+    assert_eq!(wrong, 0, "members that the resumed host holds unreachable");
     finish(testbed);
 }
 
@@ -246,22 +276,30 @@
     testbed.kill(1);
     wait_until_all_see(
         &mut testbed,
-        "both are unreachable",
+        "both killed seeds are unreachable",
         &[2, 3, 4],
         &[0, 1],
         MemberState::Unreachable,
     );
-    wait_until_all_alive(&mut testbed, "the others are alive", &[2, 3, 4]);
-    testbed.start(5).expect("a process");
-    wait_for(&mut testbed, "it is its only member", |testbed| {
-        testbed.peers.query_membership(5);
-        testbed
-            .peers
-            .last_view(5)
-            .is_some_and(|v| v.table.members.len() == 1)
-    });
-    testbed.start(1).expect("a process");
-    wait_until_all_alive(&mut testbed, "all five", &[1, 2, 3, 4, 5]);
+    wait_until_all_alive(&mut testbed, "the other hosts are alive", &[2, 3, 4]);
+    testbed.start(5).expect("cannot start the process");
+    wait_for(
+        &mut testbed,
+        "the new host is the only member that it knows",
+        |testbed| {
+            testbed.peers.query_membership(5);
+            testbed
+                .peers
+                .last_view(5)
+                .is_some_and(|v| v.table.members.len() == 1)
+        },
+    );
+    testbed.start(1).expect("cannot start the process");
+    wait_until_all_alive(
+        &mut testbed,
+        "all five running hosts see each other as alive",
+        &[1, 2, 3, 4, 5],
+    );
     finish(testbed);
 }
 
@@ -275,16 +313,24 @@
             let others: Vec<u32> = (0..6).filter(|h| h % sides != side).collect();
             wait_until_all_see(
                 &mut testbed,
-                "the other sides are unreachable",
+                "hosts of the other sides are unreachable",
                 &side_members,
                 &others,
                 MemberState::Unreachable,
             );
-            wait_until_all_alive(&mut testbed, "its own side is alive", &side_members);
+            wait_until_all_alive(
+                &mut testbed,
+                "hosts of the same side are alive",
+                &side_members,
+            );
         }
         partition(&mut testbed, 6, |_, _| false);
         let all: Vec<u32> = (0..6).collect();
-        wait_until_all_alive(&mut testbed, "healed", &all);
+        wait_until_all_alive(
+            &mut testbed,
+            "all hosts see each other as alive after the partition",
+            &all,
+        );
     }
     finish(testbed);
 }
@@ -293,14 +339,14 @@
 fn one_way_and_partial_partitions_make_no_member_unreachable() {
     let (mut testbed, _dir) = started(&with_membership(6), 8, &[0, 1, 2, 3, 4, 5]);
     set_blackholed(&mut testbed, 1, 2, true);
-    // Host 5 and the even hosts reach each other; the others are cut off from it in both directions.
+    // Host 5 and the even hosts reach each other. Hosts 1 and 3 are cut off from host 5 in both directions.
     for host in [1, 3] {
         set_blackholed(&mut testbed, 5, host, true);
         set_blackholed(&mut testbed, host, 5, true);
     }
     let from = testbed.peers.now();
     let mark = testbed.peers.membership.samples.len();
-    // Forty periods: each pair is pinged some eight times.
+    // In forty periods, each host pings each other host about eight times.
     testbed.wait_for(std::time::Duration::from_secs(4), |testbed| {
         (0..6).for_each(|h| testbed.peers.query_membership(h));
         testbed.peers.now() > from + 4_000_000
@@ -315,7 +361,10 @@
         .iter()
         .filter(has_unreachable)
         .count();
-    assert!(total > 60 && wrong == 0, "{wrong} of {total} samples");
+    assert!(
+        total > 60 && wrong == 0,
+        "{wrong} of {total} samples have an unreachable member"
+    );
     partition(&mut testbed, 6, |_, _| false);
     finish(testbed);
 }
@@ -323,22 +372,24 @@
 #[test]
 fn members_recover_from_latency_and_half_of_all_datagrams_lost() {
     let (mut testbed, _dir) = started(&with_membership(5), 9, &FIVE);
-    let bad = LinkFault {
+    let lossy = LinkFault {
         loss: 0.5,
         duplication: 0.2,
         latency: 30_000,
         jitter: 30_000,
         ..LinkFault::default()
     };
-    testbed.peers.set_link(PeerSet::Hosts, PeerSet::Hosts, bad);
+    testbed
+        .peers
+        .set_link(PeerSet::Hosts, PeerSet::Hosts, lossy);
     let from = testbed.peers.now();
     testbed.run_until(from + 3_000_000);
     testbed
         .peers
         .set_link(PeerSet::Hosts, PeerSet::Hosts, LinkFault::default());
-    wait_until_all_alive(&mut testbed, "all see all", &FIVE);
+    wait_until_all_alive(&mut testbed, "all hosts see each other as alive", &FIVE);
     let lost = testbed.peers.membership.lost;
-    assert!(lost > 50, "{lost}");
+    assert!(lost > 50, "only {lost} datagrams lost");
     finish(testbed);
 }
 
@@ -355,7 +406,7 @@
             testbed.run_once();
         }
     }
-    wait_until_all_alive(&mut testbed, "all see all", &FIVE);
+    wait_until_all_alive(&mut testbed, "all hosts see each other as alive", &FIVE);
     let members = testbed.peers.last_view(2).map(|v| v.table.members.len());
     assert_eq!(members, Some(5));
     finish(testbed);
@@ -369,20 +420,24 @@
         for host in [pair, pair + 1] {
             testbed.terminate(host);
         }
-        wait_for(&mut testbed, "both have ended", |testbed| {
-            !testbed.processes.is_running(pair) && !testbed.processes.is_running(pair + 1)
-        });
+        wait_for(
+            &mut testbed,
+            "both terminated hosts have exited",
+            |testbed| {
+                !testbed.processes.is_running(pair) && !testbed.processes.is_running(pair + 1)
+            },
+        );
         if pair == 2 {
             partition(&mut testbed, 8, |a, b| a % 2 != b % 2);
         }
         for host in [pair, pair + 1] {
-            testbed.start(host).expect("a process");
+            testbed.start(host).expect("cannot start the process");
         }
     }
     partition(&mut testbed, 8, |_, _| false);
     let all: Vec<u32> = (0..8).collect();
-    wait_until_all_alive(&mut testbed, "all see all", &all);
-    wait_for(&mut testbed, "one table", |testbed| {
+    wait_until_all_alive(&mut testbed, "all hosts see each other as alive", &all);
+    wait_for(&mut testbed, "all hosts have the same table", |testbed| {
         query_membership(testbed, &all);
         let digests: Vec<_> = all
             .iter()
@@ -395,12 +450,12 @@
     finish(testbed);
 }
 
-/// Whether any process of this machine has a UDP socket bound to an address.
+/// Returns whether any process of this machine has a UDP socket bound to an address.
 fn is_udp_bound(address: SocketAddr) -> bool {
     let SocketAddr::V4(address) = address else {
-        panic!("an IPv4 address")
+        panic!("not an IPv4 address")
     };
-    let sockets = std::fs::read_to_string("/proc/net/udp").expect("sockets");
+    let sockets = std::fs::read_to_string("/proc/net/udp").expect("cannot read /proc/net/udp");
     let listed = format!(
         "{:08X}:{:04X}",
         u32::from(*address.ip()).swap_bytes(),
@@ -410,25 +465,37 @@
 }
 
 #[test]
-fn a_host_without_membership_opens_no_socket_and_logs_nothing_of_it() {
+fn a_host_without_membership_opens_no_socket_and_logs_nothing_about_members() {
     let (mut testbed, dir) = open(&changed(&[]), 12);
-    testbed.start_all().expect("processes");
-    wait_for(&mut testbed, "all watch", |testbed| {
+    testbed.start_all().expect("cannot start the hosts");
+    wait_for(&mut testbed, "all hosts have a watch", |testbed| {
         testbed.peers.watch_count() == 5
     });
-    let descriptors = |testbed: &Testbed| testbed.processes.usage(0).expect("it runs").descriptors;
+    let descriptors = |testbed: &Testbed| {
+        testbed
+            .processes
+            .usage(0)
+            .expect("process is not running")
+            .descriptors
+    };
     let without = descriptors(&testbed);
-    let log = std::fs::read_to_string(dir.path().join("h0.log")).expect("a log");
+    let log = std::fs::read_to_string(dir.path().join("h0.log")).expect("cannot read the log");
     assert!(
         !["fleet", "member"].iter().any(|topic| log.contains(topic)),
         "{log}"
     );
     let address = testbed.peers.addresses.membership_listen(0);
-    assert!(!is_udp_bound(address), "it listens for datagrams");
+    assert!(
+        !is_udp_bound(address),
+        "a host without membership listens for datagrams"
+    );
     finish(testbed);
     let (testbed, _dir) = started(&with_membership(5), 12, &FIVE);
     let address = testbed.peers.addresses.membership_listen(0);
-    assert!(is_udp_bound(address), "with membership it listens");
+    assert!(
+        is_udp_bound(address),
+        "a host with membership does not listen for datagrams"
+    );
     assert!(descriptors(&testbed) > without);
     finish(testbed);
 }
--- a/crates/testbed/tests/fleet_model/digest.rs
+++ b/crates/testbed/tests/fleet_model/digest.rs
@@ -1,6 +1,6 @@
-//! A digest that depends on values alone, not on the names of types or fields.
+//! Digest of values, independent of the names of types and fields.
 
-/// A digest of numbers.
+/// Digest of a sequence of numbers and bytes.
 pub struct Digest(mallowseam_test_support::Digest);
 
 impl Digest {
--- a/crates/testbed/tests/fleet_model/main.rs
+++ b/crates/testbed/tests/fleet_model/main.rs
@@ -1,3 +1,3 @@
-//! The parts of the fleet testbed that need no process and no socket.
+//! Tests of the parts of the multi-process testbed that use no processes or sockets.
 mod digest;
 mod pins;
--- a/crates/testbed/tests/fleet_model/pins.rs
+++ b/crates/testbed/tests/fleet_model/pins.rs
@@ -1,4 +1,5 @@
-//! Pinned behaviour: seeded decisions of the testbed, compared with digests that were recorded once.
+//! Pinned parsing of scenario scripts, random scripts and host configurations, as digests. Guards against changes of
+//! the language, of random draws and of hosts' settings.
 use crate::digest::Digest;
 use mallowseam_models::discovery_queue::ServiceBehavior;
 use mallowseam_scenarios::fleet::{self as scenario, FaultAction, IndexRange};
@@ -39,7 +40,7 @@
         fault.jitter,
         u64::from(fault.blackholed),
         u64::from(fault.refuses_connections),
-        // The digests were recorded when 0 stood for no limit.
+        // In the recorded digests, 0 means no limit.
         fault.reset_after_bytes.unwrap_or(0),
     ]);
     digest.float(fault.bytes_per_second.unwrap_or(0.0));
@@ -101,7 +102,7 @@
 }
 
 fn add_scenario(digest: &mut Digest, text: &str) {
-    let scenario = scenario::parse("pinned", text).expect("a sound script");
+    let scenario = scenario::parse("pinned", text).expect("invalid script");
     digest.numbers(&[
         scenario.duration,
         u64::from(scenario.hosts),
@@ -156,7 +157,7 @@
         add_action(digest, &event.action);
     }
     for host in 0..scenario.hosts.min(3) {
-        let known = "{\"seq\":1}";
+        let initial_list = "{\"seq\":1}";
         let config = HostConfig {
             scenario: &scenario,
             addresses: Addresses::new(9),
@@ -164,7 +165,7 @@
             name_number: host + 1,
             discovery_service: 1,
             seed: 0xabc,
-            initial_list: known,
+            initial_list,
         };
         digest.bytes(config.to_json().as_bytes());
     }
@@ -177,6 +178,7 @@
     digest.float(scaled.load.operations_per_second);
 }
 
+/// Script with every directive and fault.
 const EVERY_DIRECTIVE: &str = "day 20s\nhosts 12 known ahead\nlimits 64 512\nzones 3\nview period 250ms seeds 2 keep 9s hosts 1..7\n\
     nodes 5 cores 3 work 7ms queue 9 start-cold\nlines 12 3ms\ncold 20% 4s 3 2s 50 6s\n\
     clients rate 77/s posts 40% again 3 at-once uneven 5\nlist takes 35ms patience 2s lag 90ms\n\
@@ -190,12 +192,18 @@
 #[test]
 fn scenario_scripts_are_parsed_as_recorded() {
     let mut digest = Digest::new();
-    add_scenario(&mut digest, builtin::fleet("cold-start").expect("a script"));
     add_scenario(
         &mut digest,
-        builtin::fleet("cold-overload").expect("a script"),
+        builtin::fleet("cold-start").expect("no built-in script of this name"),
+    );
+    add_scenario(
+        &mut digest,
+        builtin::fleet("cold-overload").expect("no built-in script of this name"),
+    );
+    add_scenario(
+        &mut digest,
+        builtin::fleet("cold-sum").expect("no built-in script of this name"),
     );
-    add_scenario(&mut digest, builtin::fleet("cold-sum").expect("a script"));
     add_scenario(&mut digest, EVERY_DIRECTIVE);
     for seed in 0..10 {
         add_scenario(&mut digest, &fault_schedule::random_script(30, seed));
@@ -222,7 +230,7 @@
     }
     digest.bytes(
         scenario::parse("empty", "")
-            .expect_err("nothing in it")
+            .expect_err("empty script was accepted")
             .to_string()
             .as_bytes(),
     );
--- a/crates/testbed/tests/host/block_io.rs
+++ b/crates/testbed/tests/host/block_io.rs
@@ -1,4 +1,4 @@
-//! Reads and writes through a host.
+//! Reads and writes through a host: transfers across nodes, deadlines, retries and flow control.
 use crate::site::{Site, read, write};
 use mallowseam_audit::block;
 use mallowseam_iscsi::initiator::InitiatorEvent;
@@ -13,7 +13,7 @@
 fn writes_across_nodes_keys_and_bursts_read_back() {
     let site = Site::new(10.0);
     let mut client = site.client(1);
-    // 512 KiB across the boundary of two nodes: immediate data, unsolicited data and R2Ts.
+    // 512 KiB across the boundary of two nodes, which takes immediate data, unsolicited data and R2Ts.
     assert_eq!(write(&mut client, 5, 7_500, 1_024), status::GOOD);
     assert_eq!(write(&mut client, 6, 7_997, 6), status::GOOD);
     let shown = read(&mut client, 7_400, 1_200);
@@ -38,7 +38,7 @@
     let cdb = scsi::read_or_write_16(true, 0, 8, 0);
     let answer = client
         .execute(0, &cdb, 0, block::write(2, 0, 8))
-        .expect("an answer");
+        .expect("no answer to the request");
     assert_eq!(
         (answer.status, answer.sense),
         (status::CHECK_CONDITION, Some(Sense::COMMUNICATION_TIMEOUT))
@@ -50,7 +50,10 @@
     );
     assert_eq!(read(&mut client, 9_000, 4), [Some(0); 4]);
     let status = site.status();
-    assert_eq!(status.nodes[0].attempts, 2, "the post was sent once");
+    assert_eq!(
+        status.nodes[0].attempts, 2,
+        "the side-effecting write was sent more than once"
+    );
 }
 
 #[test]
@@ -64,13 +67,13 @@
         4096,
         vec![].into(),
     );
-    client.flush().expect("sent");
-    site.wait_for("the read is out", |s| {
+    client.flush().expect("cannot send to the host");
+    site.wait_for("the read is at the node", |s| {
         s.nodes[0].attempts == 1 && s.nodes[0].connected
     });
     site.nodes[0].inject(NodeFault::Reset);
     let Ok(InitiatorEvent::CommandCompleted { status: code, .. }) = client.next_event() else {
-        panic!("an answer")
+        panic!("no answer to the read")
     };
     assert_eq!(code, status::GOOD);
     assert_eq!(site.status().nodes[0].reset, 1);
@@ -90,9 +93,11 @@
             vec![].into()
         ));
     }
-    stalled.flush().expect("sent");
-    let full = site.wait_for("buffers fill", |s| s.buffer_bytes > 8 << 20);
-    // The limit of one connection: its command window, full of the longest reads.
+    stalled.flush().expect("cannot send to the host");
+    let full = site.wait_for("buffers of the stalled client fill", |s| {
+        s.buffer_bytes > 8 << 20
+    });
+    // A connection buffers at most its command window of reads of the maximum length.
     assert!(full.buffer_bytes < 80 << 20, "{}", full.buffer_bytes);
     for _ in 0..50 {
         assert_eq!(read(&mut other, 9_000, 8), [Some(0); 8]);
@@ -101,11 +106,11 @@
     while completed < 48 {
         if let InitiatorEvent::CommandCompleted {
             status: code, data, ..
-        } = stalled.next_event().expect("an answer")
+        } = stalled.next_event().expect("no answer to the request")
         {
             assert_eq!((code, data.len()), (status::GOOD, 1 << 20));
             completed += 1;
         }
     }
-    site.wait_for("buffers are given back", |s| s.buffer_bytes < 1 << 20);
+    site.wait_for("buffers are released", |s| s.buffer_bytes < 1 << 20);
 }
--- a/crates/testbed/tests/host/main.rs
+++ b/crates/testbed/tests/host/main.rs
@@ -1,4 +1,4 @@
-//! One host process between clients and two stand-in nodes.
+//! Tests of one host process between clients and two stand-in nodes.
 mod block_io;
 mod lifecycle;
 mod protocol;
--- a/crates/testbed/tests/host/site.rs
+++ b/crates/testbed/tests/host/site.rs
@@ -1,4 +1,4 @@
-//! A host process with its nodes.
+//! Host process with two stand-in nodes.
 use mallowseam_audit::block;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
@@ -17,10 +17,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
+/// iSCSI target name of the host.
 pub(crate) const TARGET: &str = "iqn.t:gateway";
 
+/// Number of blocks of the volume `a`.
 pub(crate) const BLOCKS: u64 = 16384;
 
+/// Host process, nodes and files of one test.
 pub(crate) struct Site {
     pub(crate) dir: tempfile::TempDir,
     pub(crate) host: Child,
@@ -28,7 +31,7 @@
     pub(crate) nodes: Vec<Node>,
 }
 
-/// The command line of the host that was built with these tests.
+/// Returns a command that runs the gateway of the program built with these tests.
 pub(crate) fn mallowseam(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
     command.arg("host").args(args).stdin(Stdio::null());
@@ -36,12 +39,14 @@
 }
 
 impl Site {
-    /// Two nodes, each with half of every volume; work of a unit in microseconds.
+    /// Starts a host and two nodes, each with about half of volume `a`. `unit_work` is the nodes' work for a unit, in
+    /// microseconds.
     pub(crate) fn new(unit_work: f64) -> Site {
         Site::with(unit_work, |_, conf| conf)
     }
 
-    /// The same with another configuration, made of the usual one; the path is the site's directory.
+    /// Starts a host and two nodes like [`Site::new`], with a configuration that `change` derives from the default one
+    /// and the site's directory.
     pub(crate) fn with(
         unit_work: f64,
         change: impl Fn(&std::path::Path, String) -> String,
@@ -65,9 +70,9 @@
                 Trace::disabled(),
                 1,
             )
-            .expect("a node")
+            .expect("cannot start the stand-in node")
         };
-        let dir = tempfile::tempdir().expect("a directory");
+        let dir = tempfile::tempdir().expect("cannot create a temporary directory");
         let text = format!(
             "host gw0\n  listen {}\n  target {TARGET}\n  control \"{}\"\n  node-list static\n  window 64\n  \
              connections 40\n  longest 1MiB\n  seed 1\nfleet\n  hosts 1\n  unit 4KiB\n  mean-units 2\n  \
@@ -84,7 +89,8 @@
             address(1),
             address(2)
         );
-        std::fs::write(dir.path().join("conf"), change(dir.path(), text)).expect("a file");
+        std::fs::write(dir.path().join("conf"), change(dir.path(), text))
+            .expect("cannot write the file");
         let host = start(&dir);
         Site {
             address: address(0),
@@ -99,16 +105,19 @@
     }
 
     pub(crate) fn status(&self) -> Status {
-        Status::from_json(&send_request(&self.control(), "status").expect("a status"))
-            .expect("sound")
+        Status::from_json(
+            &send_request(&self.control(), "status").expect("no status from the host"),
+        )
+        .expect("invalid status")
     }
 
     pub(crate) fn client(&self, n: u32) -> BlockingClient {
-        BlockingClient::open(self.address, Some(TARGET), n).expect("a login")
+        BlockingClient::open(self.address, Some(TARGET), n).expect("cannot log in")
     }
 
-    /// Polls the status until it matches; a host takes a moment for what arrives on another socket.
-    pub(crate) fn wait_for(&self, what: &str, matches: impl Fn(&Status) -> bool) -> Status {
+    /// Polls the host's status until it matches, because the host may handle other sockets later than the control
+    /// socket.
+    pub(crate) fn wait_for(&self, condition: &str, matches: impl Fn(&Status) -> bool) -> Status {
         let began = Instant::now();
         loop {
             let status = self.status();
@@ -117,7 +126,7 @@
             }
             assert!(
                 began.elapsed() < Duration::from_secs(10),
-                "{what}: {status:?}"
+                "timeout: {condition}: {status:?}"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -126,12 +135,12 @@
     pub(crate) fn wait_for_exit(&mut self) -> std::process::ExitStatus {
         let began = Instant::now();
         loop {
-            if let Some(status) = self.host.try_wait().expect("a child") {
+            if let Some(status) = self.host.try_wait().expect("cannot wait for the process") {
                 return status;
             }
             assert!(
                 began.elapsed() < Duration::from_secs(15),
-                "the host does not end"
+                "host did not exit within 15 s"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -145,41 +154,44 @@
     }
 }
 
+/// Starts a host on the configuration in a directory, and waits until it answers.
 pub(crate) fn start(dir: &tempfile::TempDir) -> Child {
     let file = dir.path().join("conf").display().to_string();
     let child = mallowseam(&["run", "--log", "error", &file])
         .stderr(Stdio::null())
         .spawn()
-        .expect("a host");
+        .expect("cannot start the host");
     let began = Instant::now();
     while send_request(&dir.path().join("sock"), "status").is_err() {
         assert!(
             began.elapsed() < Duration::from_secs(10),
-            "the host does not start"
+            "host did not answer within 10 s"
         );
         std::thread::sleep(Duration::from_millis(10));
     }
     child
 }
 
+/// Writes blocks with an id, and returns the SCSI status.
 pub(crate) fn write(client: &mut BlockingClient, id: u64, lba: u64, blocks: u32) -> u8 {
     let cdb = scsi::read_or_write_16(true, lba, blocks, 0);
     client
         .execute(0, &cdb, 0, block::write(id, lba, blocks))
-        .expect("an answer")
+        .expect("no answer to the request")
         .status
 }
 
+/// Reads blocks, and returns the id of the write that each of them shows.
 pub(crate) fn read(client: &mut BlockingClient, lba: u64, blocks: u32) -> Vec<Option<u64>> {
-    let room = blocks as usize * 512;
+    let read_len = blocks as usize * 512;
     let answer = client
         .execute(
             0,
             &scsi::read_or_write_16(false, lba, blocks, 0),
-            room,
+            read_len,
             vec![],
         )
-        .expect("an answer");
+        .expect("no answer to the request");
     assert_eq!(answer.status, status::GOOD);
     let shown = answer.data.chunks(512).enumerate();
     shown.map(|(i, b)| block::read(b, lba + i as u64)).collect()
--- a/crates/testbed/tests/pinned/command_line.rs
+++ b/crates/testbed/tests/pinned/command_line.rs
@@ -1,39 +1,40 @@
-//! Form of the command line.
-use crate::digest::pinned;
+//! Pinned form of the command line: subcommands, arguments and defaults that users and scripts depend on.
+use crate::digest::assert_pinned;
 use std::fmt::Write;
 use std::process::Command;
 
-/// The form of a help text: usage, subcommands, arguments, options and defaults, without what describes them.
+/// Returns the form of a help text: usage, subcommands, arguments, options and defaults, without their descriptions.
 fn help_form(args: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"))
         .args(args)
         .arg("--help")
         .output()
-        .expect("a run");
-    let text = String::from_utf8(output.stdout).expect("text");
+        .expect("cannot run the program");
+    let text = String::from_utf8(output.stdout).expect("help text is not UTF-8");
     let mut out = String::new();
     for line in text.lines() {
         if let Some(usage) = line.strip_prefix("Usage: mallowseam-testbed") {
-            // The digests were recorded when the program had its earlier name.
-            writeln!(out, "Usage: mallowseam-lab{usage}").expect("memory");
+            // The digests were recorded under the program's earlier name.
+            writeln!(out, "Usage: mallowseam-lab{usage}")
+                .expect("writing to a string does not fail");
         } else if let Some(entry) = line.strip_prefix("  ") {
             let name = entry.trim_start().split("  ").next().unwrap_or_default();
             let default = entry.split("[default: ").nth(1).unwrap_or_default();
-            writeln!(out, "{name} = {default}").expect("memory");
+            writeln!(out, "{name} = {default}").expect("writing to a string does not fail");
         }
     }
     out
 }
 
-/// The subcommand `soak` in the overview.
+/// Entry of the subcommand `soak` in the overview of subcommands.
 const SOAK_ENTRY: &str = "soak = \n";
 
 #[test]
-fn form_of_the_command_line() {
-    // Recorded before there was this subcommand.
+fn command_line_has_its_recorded_form() {
+    // The digest of the overview was recorded before `soak` existed.
     let overview = help_form(&[]);
     assert!(overview.contains(SOAK_ENTRY));
-    pinned(
+    assert_pinned(
         "help",
         &overview.replace(SOAK_ENTRY, ""),
         0xe76b_af9c_b3cf_ff99,
@@ -52,7 +53,7 @@
         (&["bench-snapshots"], 0x63f8_cb5d_1dec_ba7f),
     ];
     for (args, expected) in lines {
-        pinned(
+        assert_pinned(
             &format!("help {}", args.join(" ")),
             &help_form(args),
             expected,
--- a/crates/testbed/tests/placement_cli.rs
+++ b/crates/testbed/tests/placement_cli.rs
@@ -1,23 +1,25 @@
-//! `mallowseam shares` as an operator uses it.
+//! Tests of `mallowseam shares` as an operator uses it: the commands must agree with each other, and invalid files must
+//! be reported in full.
 use std::fmt::Write;
 use std::process::Command;
 
+/// Placement problem of three nodes and three volumes, with a solution.
 const PROBLEM: &str = "node a\n  capacity 10/s\n  zone east\nnode b\n  capacity 10.5/s\n  zone east\nnode c\n  \
 capacity 8/s\n  zone west\n  cost 2\nvolume water\n  reserve 6/s\n  surge 12/s\n  spread 2\n  survives node\n  \
 apart\nvolume gas\n  reserve 4.25/s\n  surge 9/s\n  price 1800\nvolume tax\n  reserve 1/s\n  surge 20/s\n  \
 today a\n";
 
-/// Runs `shares WHAT` on these files' texts; exit code and what was printed.
-fn shares(what: &str, texts: &[&str]) -> (i32, String) {
-    let dir = tempfile::tempdir().expect("a directory");
+/// Runs a subcommand of `shares` on files with the given texts. Returns its exit code and output.
+fn shares(subcommand: &str, texts: &[&str]) -> (i32, String) {
+    let dir = tempfile::tempdir().expect("cannot create a temporary directory");
     let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
-    command.args(["host", "shares", what]);
+    command.args(["host", "shares", subcommand]);
     for (i, text) in texts.iter().enumerate() {
         let file = dir.path().join(format!("f{i}"));
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("cannot write the file");
         command.arg(file);
     }
-    let out = command.output().expect("a run");
+    let out = command.output().expect("cannot run the program");
     let text = [out.stdout, out.stderr].concat();
     (
         out.status.code().unwrap_or(-1),
@@ -32,7 +34,7 @@
     assert!(
         best.lines()
             .any(|l| l.starts_with("place water ") && l.ends_with(" c")),
-        "apart: {best}"
+        "volume water is not placed apart on c: {best}"
     );
     let (code, output) = shares("explain", &[PROBLEM, &best]);
     assert!(code == 0 && output.contains("all reserves fit"), "{output}");
@@ -46,38 +48,38 @@
 
 #[test]
 fn infeasible_problem_has_its_own_exit_code_and_names_the_conflict() {
-    let tight = PROBLEM
+    let infeasible = PROBLEM
         .replace("reserve 4.25/s", "reserve 9.001/s")
         .replace("reserve 1/s", "reserve 9/s")
         .replace("surge 9/s", "surge 10/s");
-    let (code, output) = shares("work-out", &[&tight]);
+    let (code, output) = shares("work-out", &[&infeasible]);
     assert_eq!(code, 3, "{output}");
-    let named = [
+    let reserves = [
         "volume gas reserves 9.001/s",
         "volume tax reserves 9.000/s",
         "volume water reserves 6.000/s",
     ];
-    for wanted in named
+    for expected in reserves
         .into_iter()
         .chain(["least relaxation: all capacities times"])
     {
-        assert!(output.contains(wanted), "{wanted} in\n{output}");
+        assert!(output.contains(expected), "{expected} not in\n{output}");
     }
 }
 
 #[test]
 fn all_mistakes_of_a_file_are_reported_at_once() {
-    let bad = "node a\n  capacity 10\n  zones x\nnode a\n  capacity 1.2345/s\nvolume v\n  survives all\n  spread 9\n";
-    let (code, output) = shares("work-out", &[bad]);
+    let text = "node a\n  capacity 10\n  zones x\nnode a\n  capacity 1.2345/s\nvolume v\n  survives all\n  spread 9\n";
+    let (code, output) = shares("work-out", &[text]);
     assert_eq!(code, 2);
-    for wanted in [
+    for expected in [
         ":2:12: expected units a second",
         ":3:3: expected a directive of section `node`, found `zones`",
         ":5:12: expected units a second",
         ":7:12: expected node or zone, found `all`",
         ":8:10: expected 1 to 8 nodes, found `9`",
     ] {
-        assert!(output.contains(wanted), "{wanted} in\n{output}");
+        assert!(output.contains(expected), "{expected} not in\n{output}");
     }
     let (code, output) = shares(
         "work-out",
@@ -115,11 +117,11 @@
         "{answer}"
     );
     assert!(answer.contains("# with these shares "), "{answer}");
-    let lies = |volume: &str| {
+    let placed_on = |volume: &str| {
         let line = answer
             .lines()
             .find(|l| l.starts_with(&format!("place {volume} ")))
-            .expect("placed");
+            .expect("volume has no place");
         line.split(' ')
             .skip(2)
             .map(str::to_owned)
@@ -131,14 +133,14 @@
          reserve 1/s\ngroup any\n  effect idempotent\n  goal 1s\n  hard-limit 2s\n",
     );
     for (i, volume) in ["gas", "tax"].iter().enumerate() {
-        let node = &lies(volume)[0];
+        let node = &placed_on(volume)[0];
         writeln!(
             conf,
             "volume {volume}\n  lun {i}\n  plan free\n  blocks 64\n  block-size 512B\n  hosts 1\n  extent 0 64 {node} at \
              {}\n  rule any any",
             i * 64
         )
-        .expect("writing to memory");
+        .expect("writing to a string does not fail");
     }
     for (i, n) in ["a", "b", "c"].iter().enumerate() {
         writeln!(
@@ -146,37 +148,40 @@
             "node {n}\n  address 127.0.0.1:{}\n  target iqn.t:{n}",
             4000 + i
         )
-        .expect("writing to memory");
+        .expect("writing to a string does not fail");
     }
-    // Water is not in this configuration.
+    // The configuration lacks the volume `water`.
     let (code, output) = shares("apply", &[&problem, &answer, &conf]);
     assert!(
         code == 2 && output.contains("volume water: not in the configuration"),
         "{output}"
     );
-    let two = |text: &str| {
+    let without_water = |text: &str| {
         text.lines()
             .filter(|l| !l.contains(" water "))
             .collect::<Vec<_>>()
             .join("\n")
     };
-    let few = problem.replace(
+    let problem_without_water = problem.replace(
         "volume water\n  reserve 6/s\n  surge 12/s\n  spread 2\n  survives node\n  apart\n",
         "",
     );
-    let (code, output) = shares("apply", &[&few, &two(&answer), &conf]);
+    let (code, output) = shares(
+        "apply",
+        &[&problem_without_water, &without_water(&answer), &conf],
+    );
     assert!(
         code == 0
             && output.contains("plan free-tax: new")
             && output.contains("volume gas: plan free-gas"),
         "{output}"
     );
-    let other = if lies("tax") == ["b"] { "c" } else { "b" };
-    let moved = two(&answer).replace(
-        &format!("place tax {}", lies("tax")[0]),
+    let other = if placed_on("tax") == ["b"] { "c" } else { "b" };
+    let moved = without_water(&answer).replace(
+        &format!("place tax {}", placed_on("tax")[0]),
         &format!("place tax {other}"),
     );
-    let (code, output) = shares("apply", &[&few, &moved, &conf]);
+    let (code, output) = shares("apply", &[&problem_without_water, &moved, &conf]);
     assert!(
         code == 2
             && output.contains("volume tax: data is on ")
@@ -196,7 +201,7 @@
         "part tax h2 1.500/s",
         "part tax h3 0.750/s",
     ] {
-        assert!(answer.contains(part), "{part} in\n{answer}");
+        assert!(answer.contains(part), "{part} not in\n{answer}");
     }
     let (code, output) = shares("explain", &[&problem, &answer]);
     assert_eq!(code, 0, "{output}");
--- a/crates/testbed/tests/plan_service.rs
+++ b/crates/testbed/tests/plan_service.rs
@@ -1,4 +1,5 @@
-//! Plans in versions through real processes: a control service, two hosts, one stand-in node.
+//! Tests of versioned plans with real processes: a plan service and two hosts, with one stand-in node. Guards against
+//! changes that are reported before all hosts apply them, and against hosts that depend on a running service.
 use mallowseam_audit::block;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
@@ -14,8 +15,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
+/// iSCSI target name of the hosts.
 const TARGET: &str = "iqn.t:gateway";
 
+/// Processes and node of one test.
 struct Site {
     dir: tempfile::TempDir,
     service: Option<Child>,
@@ -39,7 +42,7 @@
                 3260,
             ))
         };
-        let dir = tempfile::tempdir().expect("a directory");
+        let dir = tempfile::tempdir().expect("cannot create a temporary directory");
         let d = dir.path().display();
         for i in 0..2 {
             let text = format!(
@@ -55,11 +58,12 @@
                 address(4),
                 address(5),
             );
-            std::fs::write(dir.path().join(format!("conf{i}")), text).expect("a file");
+            std::fs::write(dir.path().join(format!("conf{i}")), text)
+                .expect("cannot write the file");
         }
         let model = ServiceModel::warm(4, 50.0, 64);
-        let node =
-            Node::start(0, address(5), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
+        let node = Node::start(0, address(5), "iqn.t:node0", model, Trace::disabled(), 1)
+            .expect("cannot start the stand-in node");
         let host_addresses = vec![address(0), address(1)];
         let mut site = Site {
             dir,
@@ -70,8 +74,8 @@
         };
         site.start_service();
         (0..2).for_each(|i| site.start_host(i));
-        site.wait_for("both hosts", |r| {
-            r.plan(&["hosts"], &[])
+        site.wait_for("both hosts apply version 2", |site| {
+            site.plan(&["hosts"], &[])
                 .1
                 .contains("2 hosts; in force at all of them: 2")
         });
@@ -82,54 +86,59 @@
         self.dir.path().join(name)
     }
 
-    fn start(&self, what: &str, conf: usize) -> Child {
+    fn start(&self, subcommand: &str, conf: usize) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         command
-            .args(["host", what, "--log", "error"])
+            .args(["host", subcommand, "--log", "error"])
             .arg(self.path(&format!("conf{conf}")));
         command
             .stdin(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("a process")
+            .expect("cannot start the process")
     }
 
     fn start_service(&mut self) {
         self.service = Some(self.start("control", 0));
-        self.wait_for("the service", |r| r.plan(&["show"], &[]).0);
+        self.wait_for("the plan service answers", |site| {
+            site.plan(&["show"], &[]).0
+        });
     }
 
     fn start_host(&mut self, i: usize) {
         self.hosts[i] = Some(self.start("run", i));
-        self.wait_for("a host", |r| {
-            send_request(&r.path(&format!("gw{i}.sock")), "status").is_ok()
+        self.wait_for("a host answers", |site| {
+            send_request(&site.path(&format!("gw{i}.sock")), "status").is_ok()
         });
     }
 
     fn kill(child: &mut Option<Child>) {
         if let Some(mut child) = child.take() {
-            child.kill().expect("a child");
-            child.wait().expect("a child");
+            child.kill().expect("cannot kill the process");
+            child.wait().expect("cannot wait for the process");
         }
     }
 
-    fn wait_for(&self, what: &str, matches: impl Fn(&Site) -> bool) {
+    fn wait_for(&self, condition: &str, matches: impl Fn(&Site) -> bool) {
         let began = Instant::now();
         while !matches(self) {
-            assert!(began.elapsed() < Duration::from_secs(15), "{what}");
+            assert!(
+                began.elapsed() < Duration::from_secs(15),
+                "timeout: {condition}"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// `mallowseam plan …`; whether it succeeded, and what was printed.
-    fn plan(&self, what: &[&str], rest: &[&str]) -> (bool, String) {
+    /// Runs `mallowseam plan` with a subcommand. Returns whether it succeeded, and its output.
+    fn plan(&self, subcommand: &[&str], rest: &[&str]) -> (bool, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         command
             .args(["host", "plan"])
-            .args(what)
+            .args(subcommand)
             .arg(self.path("conf0"))
             .args(rest);
-        let out = command.output().expect("a run");
+        let out = command.output().expect("cannot run the program");
         (
             out.status.success(),
             String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
@@ -142,33 +151,37 @@
     }
 
     fn status(&self, host: usize) -> Status {
-        let text = send_request(&self.path(&format!("gw{host}.sock")), "status").expect("a status");
-        Status::from_json(&text).expect("sound")
+        let text = send_request(&self.path(&format!("gw{host}.sock")), "status")
+            .expect("no status from the host");
+        Status::from_json(&text).expect("invalid status")
     }
 
-    /// A host's quota of the limit of volume a.
+    /// Returns a host's quota of the limit of volume `a`.
     fn quota(&self, host: usize) -> f64 {
-        self.status(host).volumes[0].quota.expect("it follows")
+        self.status(host).volumes[0]
+            .quota
+            .expect("host does not follow the plan service")
     }
 
+    /// Returns the limit of the plan `basic` that a host applies.
     fn limit(&self, host: usize) -> f64 {
         self.status(host)
             .plans
             .iter()
             .find(|p| p.name == "basic")
-            .expect("there")
+            .expect("host has no plan `basic`")
             .limit
     }
 }
 
-/// Writes for a while, which requests more than an even quota.
+/// Writes for some seconds, at a higher rate than an even quota allows.
 fn write_for(client: &mut BlockingClient, seconds: u64) {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(seconds) {
         let cdb = scsi::read_or_write_16(true, 0, 8, 0);
         client
             .execute(0, &cdb, 0, block::write(1, 0, 8))
-            .expect("an answer");
+            .expect("no answer to the request");
     }
 }
 
@@ -180,7 +193,7 @@
 }
 
 #[test]
-fn change_is_effective_at_all_hosts_when_its_author_is_told() {
+fn change_is_effective_at_all_hosts_when_its_author_is_answered() {
     let site = Site::new();
     let (succeeded, output) = site.set(&["limit=30", "burst=6"], &["--dry-run"]);
     assert!(
@@ -230,37 +243,39 @@
 fn quotas_of_a_limit_follow_the_demand_from_host_to_host() {
     let site = Site::new();
     let surge = |host: usize, stop: &Arc<AtomicBool>| {
-        let counter = |n: u32| {
+        let start_client = |n: u32| {
             let (at, stop) = (site.host_addresses[host], stop.clone());
             std::thread::spawn(move || {
-                let mut client = BlockingClient::open(at, Some(TARGET), n).expect("a login");
+                let mut client = BlockingClient::open(at, Some(TARGET), n).expect("cannot log in");
                 while !stop.load(Ordering::Relaxed) {
                     write_for(&mut client, 1);
                 }
             })
         };
-        (0..12).map(counter).collect::<Vec<_>>()
+        (0..12).map(start_client).collect::<Vec<_>>()
     };
-    // An even quota is 20; three quarters of the other host's are leased.
-    site.wait_for("an even quota, or less", |r| r.quota(0) <= 20.0);
+    // An even quota is 20. The busy host can lease up to three quarters of the other host's quota.
+    site.wait_for("host 0 has at most an even quota", |site| {
+        site.quota(0) <= 20.0
+    });
     let stop = Arc::new(AtomicBool::new(false));
     let first = surge(0, &stop);
-    site.wait_for("the quota of the busy host", |r| {
-        r.quota(0) > 30.0 && r.quota(1) < 10.0
+    site.wait_for("the quota moves to the busy host", |site| {
+        site.quota(0) > 30.0 && site.quota(1) < 10.0
     });
     stop.store(true, Ordering::Relaxed);
     for thread in first {
-        thread.join().expect("no panic");
+        thread.join().expect("thread panicked");
     }
     // The demand moves to the other host, and the quotas follow it.
     let stop = Arc::new(AtomicBool::new(false));
     let second = surge(1, &stop);
-    site.wait_for("the quota of the newly busy host", |r| {
-        r.quota(1) > 30.0 && r.quota(0) < 10.0
+    site.wait_for("the quota moves to the newly busy host", |site| {
+        site.quota(1) > 30.0 && site.quota(0) < 10.0
     });
     stop.store(true, Ordering::Relaxed);
     for thread in second {
-        thread.join().expect("no panic");
+        thread.join().expect("thread panicked");
     }
 }
 
@@ -277,21 +292,23 @@
     Site::kill(&mut site.hosts[0]);
     site.start_host(0);
     assert_eq!((site.limit(0), site.limit(1)), (60.0, 60.0));
-    site.wait_for("even quotas", |r| r.quota(0) == 30.0 && r.quota(1) == 30.0);
+    site.wait_for("both hosts have even quotas", |site| {
+        site.quota(0) == 30.0 && site.quota(1) == 30.0
+    });
     site.start_service();
     assert!(
         site.plan(&["replay"], &[])
             .1
             .contains("trail replays: 3 of 3")
     );
-    // A service that has just started knows which hosts have not reported yet.
+    // A restarted service knows the hosts that have not yet reported to it, and waits for them.
     let (succeeded, output) = site.set(&["limit=20"], &["--wait"]);
     assert!(
         succeeded && output.contains("version 4 in force at all 2 hosts"),
         "{output}"
     );
     assert_eq!((site.limit(0), site.limit(1)), (20.0, 20.0));
-    // With a host down the answer names it, and says that the version stands.
+    // With a host down, the answer names the host and says that the version stays in effect.
     Site::kill(&mut site.hosts[1]);
     let (succeeded, output) = site.set(&["limit=25"], &["--wait"]);
     assert!(
@@ -307,7 +324,9 @@
             .contains("1 hosts; in force at all of them: 5")
     );
     site.start_host(1);
-    site.wait_for("it comes back to the newest", |r| r.limit(1) == 25.0);
+    site.wait_for("a restarted host applies the newest version", |site| {
+        site.limit(1) == 25.0
+    });
 }
 
 #[test]
--- a/crates/testbed/tests/snapshots/crash_points.rs
+++ b/crates/testbed/tests/snapshots/crash_points.rs
@@ -1,4 +1,5 @@
-//! A catalog that aborts at each step of a day.
+//! Snapshot catalog that aborts at one step of its work and is started again, for each step in turn. Guards against
+//! lost or repeated changes and leaked slots after a crash between two steps.
 use crate::site::{Site, write};
 use mallowseam_audit::block;
 use mallowseam_iscsi::scsi;
@@ -7,30 +8,30 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Blocks of the volume that the day writes to.
+/// Number of blocks of the volume that are written to.
 const BLOCKS: usize = 64;
-/// Threads that try steps beside each other.
+/// Number of threads, each of which tests one step at a time.
 const THREADS: usize = 32;
-/// The error of a request whose answer was lost with the catalog contains one of these.
-const LOST_ANSWERS: [&str; 4] = ["reset", "whole", "refused", "pipe"];
+/// Parts of error texts of requests whose answer was lost because the catalog aborted.
+const LOST_ANSWER_ERRORS: [&str; 4] = ["reset", "whole", "refused", "pipe"];
 
-/// Per block the id of the last write that was acknowledged.
-type Written = [u64; BLOCKS];
+/// Id of the last acknowledged write to each block.
+type AcknowledgedIds = [u64; BLOCKS];
 
-/// One volume's day with a catalog that aborts at a step, and is started again.
-struct Day {
+/// Run with a catalog that aborts at one step and is started again.
+struct CrashRun {
     step: u64,
     site: Site,
     client: BlockingClient,
     last_id: u64,
 }
 
-impl Day {
-    fn start(step: u64) -> Day {
+impl CrashRun {
+    fn start(step: u64) -> CrashRun {
         let mut site = Site::with(1, Some(step));
         site.restart_crashed();
         let client = site.client(0);
-        Day {
+        CrashRun {
             step,
             site,
             client,
@@ -38,27 +39,29 @@
         }
     }
 
-    /// Writes eight blocks, again while the write is shed because the catalog is away: nothing was sent then.
-    fn write(&mut self, lun: u32, lba: u64, written: &mut Written) {
+    /// Writes eight blocks, and repeats the write while it is shed because the catalog does not run. A shed write was
+    /// not sent to a node.
+    fn write(&mut self, lun: u32, lba: u64, acknowledged: &mut AcknowledgedIds) {
         self.last_id += 1;
         let (step, id) = (self.step, self.last_id);
         let began = Instant::now();
         while write(&mut self.client, lun, id, lba, 8).status != status::GOOD {
             assert!(
                 began.elapsed() < Duration::from_secs(20),
-                "step {step}: write {id} never completes"
+                "step {step}: write {id} did not complete within 20 s"
             );
             self.site.restart_crashed();
         }
-        written[lba as usize..lba as usize + 8].fill(id);
+        acknowledged[lba as usize..lba as usize + 8].fill(id);
     }
 
-    /// Does what an operator does whose request came to nothing: looks at the list, and requests it again.
+    /// Sends a request and, like an operator whose request failed, checks the catalog's list and repeats the request
+    /// unless the list shows that it was carried out.
     fn request(&mut self, line: &str, entry: &str, listed_after: bool) {
-        while let Err(why) = self.site.request(line) {
-            let rejected = why.contains("in use") || why.contains("no such");
-            let lost = LOST_ANSWERS.iter().any(|text| why.contains(text));
-            assert!(rejected || lost, "step {}: {why}", self.step);
+        while let Err(error) = self.site.request(line) {
+            let rejected = error.contains("in use") || error.contains("no such");
+            let lost = LOST_ANSWER_ERRORS.iter().any(|text| error.contains(text));
+            assert!(rejected || lost, "step {}: {error}", self.step);
             if self.site.list().contains(entry) == listed_after {
                 return;
             }
@@ -70,15 +73,15 @@
         let line = list
             .lines()
             .find(|line| line.starts_with(&format!("{name} ")))
-            .expect("listed");
+            .expect("name is not in the catalog's list");
         let lun = line
             .split("LUN ")
             .nth(1)
             .and_then(|rest| rest.split(' ').next()?.parse().ok());
-        lun.expect("a LUN")
+        lun.expect("no LUN in the entry of the list")
     }
 
-    /// Reads a unit, once the host knows it and the catalog is back.
+    /// Reads a logical unit, with retries until the host knows the unit and the catalog runs.
     fn read(&mut self, lun: u32) -> Vec<u64> {
         let began = Instant::now();
         loop {
@@ -87,7 +90,7 @@
             }
             assert!(
                 began.elapsed() < Duration::from_secs(30),
-                "step {}: LUN {lun} never reads",
+                "step {}: LUN {lun} could not be read within 30 s",
                 self.step
             );
             self.site.restart_crashed();
@@ -100,7 +103,7 @@
             let found = self.site.location_count();
             assert!(
                 began.elapsed() < Duration::from_secs(30),
-                "step {}: {found} locations",
+                "step {}: {found} extent locations",
                 self.step
             );
             std::thread::sleep(Duration::from_millis(20));
@@ -112,51 +115,55 @@
         self.site.kill_catalog();
         let (code, text) = self.site.run(&["verify"], &[]);
         let clean = text.contains("places 6, of which hold data 6; leaked 0; faults 0");
-        assert!(clean && code == 0, "{}: {text}", self.step);
+        assert!(clean && code == 0, "step {}: {text}", self.step);
     }
 }
 
-/// Plays a day in which the catalog aborts at a step: what was granted and acknowledged is there at the end, whatever
-/// the operator had to request again. False: that step was never reached.
+/// Takes snapshots, makes and deletes clones while the catalog aborts at a step, and checks that all that was granted
+/// and acknowledged exists at the end, whichever requests had to be repeated. Returns whether the catalog reached the
+/// step.
 fn run_day_with_crash_at(step: u64) -> bool {
-    let mut day = Day::start(step);
-    let mut volume: Written = [0; BLOCKS];
+    let mut run = CrashRun::start(step);
+    let mut volume: AcknowledgedIds = [0; BLOCKS];
     for lba in [0, 28, 40] {
-        day.write(0, lba, &mut volume);
+        run.write(0, lba, &mut volume);
     }
-    day.request("snapshot a m1", "a@m1", true);
+    run.request("snapshot a m1", "a@m1", true);
     let first_snapshot = volume;
     for lba in [8, 32] {
-        day.write(0, lba, &mut volume);
+        run.write(0, lba, &mut volume);
     }
-    day.request("clone a@m1 c", "c  LUN", true);
-    day.request("snapshot a m2", "a@m2", true);
+    run.request("clone a@m1 c", "c  LUN", true);
+    run.request("snapshot a m2", "a@m2", true);
     assert_ne!(volume, first_snapshot);
-    day.write(0, 0, &mut volume);
-    day.site.restart_crashed();
+    run.write(0, 0, &mut volume);
+    run.site.restart_crashed();
     let mut clone = first_snapshot;
-    let clone_lun = day.lun("c");
-    day.read(clone_lun);
-    day.write(clone_lun, 28, &mut clone);
-    day.request("delete a@m2", "a@m2", false);
-    day.site.restart_crashed();
-    let first_lun = day.lun("a@m1");
-    assert!(!day.site.list().contains("a@m2"), "step {step}: deleted");
+    let clone_lun = run.lun("c");
+    run.read(clone_lun);
+    run.write(clone_lun, 28, &mut clone);
+    run.request("delete a@m2", "a@m2", false);
+    run.site.restart_crashed();
+    let first_lun = run.lun("a@m1");
+    assert!(
+        !run.site.list().contains("a@m2"),
+        "step {step}: deleted snapshot is listed"
+    );
     for (lun, expected) in [(0, volume), (first_lun, first_snapshot), (clone_lun, clone)] {
-        assert_eq!(day.read(lun), expected, "step {step}: LUN {lun}");
+        assert_eq!(run.read(lun), expected, "step {step}: LUN {lun}");
     }
-    // Of the deleted snapshot, the volume still shows one extent and not the other.
-    day.wait_for_locations(6);
-    day.verify();
-    day.site.crashes > 0
+    // Of the two extents in the deleted snapshot's layer, the volume still shows one; the other is reclaimed.
+    run.wait_for_locations(6);
+    run.verify();
+    run.site.crashes > 0
 }
 
 fn try_read_ids(client: &mut BlockingClient, lun: u32) -> Option<Vec<u64>> {
     let cdb = scsi::read_or_write_16(false, 0, BLOCKS as u32, 0);
     let answer = client
         .execute(lun, &cdb, BLOCKS * block::SIZE, vec![])
-        .expect("an answer");
-    let id = |(lba, bytes): (u64, &[u8])| block::read(bytes, lba).expect("a whole write");
+        .expect("no answer to the request");
+    let id = |(lba, bytes): (u64, &[u8])| block::read(bytes, lba).expect("block is corrupt");
     (answer.status == status::GOOD)
         .then(|| (0..).zip(answer.data.chunks(block::SIZE)).map(id).collect())
 }
@@ -164,7 +171,7 @@
 #[test]
 fn catalog_crash_at_any_step_loses_nothing_and_leaks_nothing() {
     let next_step = AtomicU64::new(1);
-    let reached = AtomicU64::new(0);
+    let last_reached = AtomicU64::new(0);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
@@ -173,10 +180,13 @@
                     if !run_day_with_crash_at(step) {
                         return;
                     }
-                    reached.fetch_max(step, Ordering::Relaxed);
+                    last_reached.fetch_max(step, Ordering::Relaxed);
                 }
             });
         }
     });
-    assert!(reached.load(Ordering::Relaxed) > 30, "{reached:?} steps");
+    assert!(
+        last_reached.load(Ordering::Relaxed) > 30,
+        "only {last_reached:?} steps were reached"
+    );
 }
--- a/crates/testbed/tests/snapshots/failures.rs
+++ b/crates/testbed/tests/snapshots/failures.rs
@@ -1,4 +1,5 @@
-//! Nodes, hosts and catalogs that fail.
+//! Failures of nodes, hosts and the catalog. Guards against snapshots that miss writes, lost grants and lost writes
+//! when one of them is silent, killed or full.
 use crate::site::{EXTENT, Site, read_ids, write, write_good};
 use mallowseam_iscsi::scsi::status;
 use mallowseam_stand_ins::node::NodeFault;
@@ -13,19 +14,25 @@
         write_good(&mut client, 0, extent + 1, extent * EXTENT, 8);
     }
     let tree: serde_json::Value =
-        serde_json::from_str(&site.request("tree").expect("an answer")).expect("JSON");
+        serde_json::from_str(&site.request("tree").expect("no answer to the request"))
+            .expect("invalid JSON");
     let node = tree["layers"]["1024"]["places"]["0"]["node"]
         .as_u64()
-        .expect("a place") as usize;
+        .expect("extent 0 has no node") as usize;
     site.nodes[node].inject(NodeFault::Silent(true));
     let failed = site
         .request("snapshot a march")
-        .expect_err("a node is silent");
+        .expect_err("snapshot succeeded with a silent node");
     assert!(
         failed.contains(&format!("not closed in time by node{node}")),
         "{failed}"
     );
-    assert!(!site.request("list").expect("an answer").contains("march"));
+    assert!(
+        !site
+            .request("list")
+            .expect("no answer to the request")
+            .contains("march")
+    );
     site.nodes[node].inject(NodeFault::Silent(false));
     let march = site.request_lun("snapshot a march");
     for extent in 0..8 {
@@ -52,9 +59,13 @@
     write_good(&mut client, 0, 3, 0, 8);
     assert_eq!(read_ids(&mut client, 0, 0, 8), [3; 8]);
     site.start_catalog();
-    assert!(site.request("list").expect("an answer").contains("a@march"));
+    assert!(
+        site.request("list")
+            .expect("no answer to the request")
+            .contains("a@march")
+    );
     assert_eq!(read_ids(&mut client, march, 0, 8), [1; 8]);
-    // A first write waits until hosts that the new catalog cannot know have lost their leases.
+    // A first write is shed until the leases of hosts that the restarted catalog cannot know of have expired.
     let april = site.request_lun("snapshot a april");
     loop {
         let answer = write(&mut client, 0, 4, 0, 8);
@@ -79,8 +90,8 @@
     write_good(&mut two, 0, 1, 0, 8);
     write_good(&mut one, 0, 2, 64, 8);
     site.request_lun("snapshot a march");
-    site.hosts[0].kill().expect("a child");
-    site.hosts[0].wait().expect("a child");
+    site.hosts[0].kill().expect("cannot kill the process");
+    site.hosts[0].wait().expect("cannot wait for the process");
     let began = Instant::now();
     while write(&mut two, 0, 3, 0, 8).status != status::GOOD {
         assert!(
@@ -114,10 +125,11 @@
         );
     }
     let tree: serde_json::Value =
-        serde_json::from_str(&site.request("tree").expect("an answer")).expect("JSON");
+        serde_json::from_str(&site.request("tree").expect("no answer to the request"))
+            .expect("invalid JSON");
     let placed = tree["layers"]["1025"]["places"]
         .as_object()
-        .expect("places")
+        .expect("layer has no locations")
         .clone();
     assert_eq!(placed.len(), 12);
     assert!(placed.values().all(|p| p["node"] != 2), "{placed:?}");
--- a/crates/testbed/tests/snapshots/isolation.rs
+++ b/crates/testbed/tests/snapshots/isolation.rs
@@ -1,4 +1,5 @@
-//! What snapshots and clones show.
+//! Contents of snapshots and clones. Guards against snapshots and clones that show writes of others, or parts of a
+//! write.
 use crate::site::{Site, TARGET, read_ids, write, write_good};
 use mallowseam_iscsi::scsi::Sense;
 use mallowseam_iscsi::scsi::status;
@@ -40,9 +41,14 @@
     }
     let refused = write(&mut one, march, 4, 0, 8);
     assert_eq!(refused.sense, Some(Sense::WRITE_PROTECTED));
-    assert_eq!(site.request("diff a a@march").expect("an answer"), "32-63");
     assert_eq!(
-        site.request("rollback a a@march").expect("an answer"),
+        site.request("diff a a@march")
+            .expect("no answer to the request"),
+        "32-63"
+    );
+    assert_eq!(
+        site.request("rollback a a@march")
+            .expect("no answer to the request"),
         "a shows a@march"
     );
     assert_eq!(
@@ -62,8 +68,8 @@
         let client = &mut clients[rng.random_range(0..2)];
         let lba = rng.random_range(0..60) * 8;
         if rng.random_range(0..40) == 0 {
-            let unit = site.request_lun(&format!("snapshot a s{id}"));
-            snapshots.push((unit, written.clone()));
+            let lun = site.request_lun(&format!("snapshot a s{id}"));
+            snapshots.push((lun, written.clone()));
         }
         write_good(client, 0, id, lba, 8);
         written[lba as usize..lba as usize + 8].fill(id);
@@ -72,15 +78,19 @@
         assert_eq!(
             read_ids(client, 0, lba, 8),
             written[lba as usize..lba as usize + 8],
-            "before write {id}"
+            "read after write {id}"
         );
     }
-    assert!(snapshots.len() > 3, "{} snapshots", snapshots.len());
-    for (unit, expected) in snapshots {
+    assert!(
+        snapshots.len() > 3,
+        "only {} snapshots were taken",
+        snapshots.len()
+    );
+    for (lun, expected) in snapshots {
         assert_eq!(
-            read_ids(&mut clients[0], unit, 0, 512),
+            read_ids(&mut clients[0], lun, 0, 512),
             expected,
-            "LUN {unit}"
+            "LUN {lun}"
         );
     }
 }
@@ -100,19 +110,19 @@
     for (lun, id) in [(0, 4), (one, 5), (two, 6)] {
         write_good(&mut client, lun, id, 0, 8);
     }
-    let firsts = |client: &mut BlockingClient, lun| -> Vec<u64> {
+    let first_blocks = |client: &mut BlockingClient, lun| -> Vec<u64> {
         read_ids(client, lun, 0, 24)
             .into_iter()
             .step_by(8)
             .collect()
     };
-    assert_eq!(firsts(&mut client, snapshots), [1, 2, 3]);
-    assert_eq!(firsts(&mut client, two), [6, 2, 3]);
-    assert_eq!(firsts(&mut client, one), [5, 2, 0]);
-    assert_eq!(firsts(&mut client, 0), [4, 0, 0]);
+    assert_eq!(first_blocks(&mut client, snapshots), [1, 2, 3]);
+    assert_eq!(first_blocks(&mut client, two), [6, 2, 3]);
+    assert_eq!(first_blocks(&mut client, one), [5, 2, 0]);
+    assert_eq!(first_blocks(&mut client, 0), [4, 0, 0]);
     assert!(
         site.request("delete one")
-            .expect_err("in use")
+            .expect_err("clone in use was deleted")
             .contains("one@s")
     );
 }
@@ -120,27 +130,27 @@
 #[test]
 fn write_across_extents_is_atomic_in_every_snapshot() {
     let site = Site::new();
-    let over = std::sync::atomic::AtomicBool::new(false);
+    let is_over = std::sync::atomic::AtomicBool::new(false);
     let mut snapshots: Vec<(u32, [(u64, u64); 2])> = Vec::new();
-    // Per area the last write that was acknowledged, and the last one that was started.
+    // Last write to each area that was acknowledged, and last one that was started.
     let written: [[std::sync::atomic::AtomicU64; 2]; 2] = Default::default();
     let order = Ordering::SeqCst;
     std::thread::scope(|scope| {
-        for (area, [acked, begun]) in written.iter().enumerate() {
-            let (at, over) = (site.host_addresses[area], &over);
+        for (area, [acknowledged, started]) in written.iter().enumerate() {
+            let (at, is_over) = (site.host_addresses[area], &is_over);
             scope.spawn(move || {
-                let mut client =
-                    BlockingClient::open(at, Some(TARGET), 20 + area as u32).expect("a login");
+                let mut client = BlockingClient::open(at, Some(TARGET), 20 + area as u32)
+                    .expect("cannot log in");
                 let mut id = 0;
-                while !over.load(order) {
+                while !is_over.load(order) {
                     id += 2;
-                    let mine = id + area as u64;
-                    begun.store(mine, order);
-                    // Four extents at a time, two of them in part.
-                    if write(&mut client, 0, mine, area as u64 * 256 + 16, 96).status
+                    let write_id = id + area as u64;
+                    started.store(write_id, order);
+                    // Each write covers four extents, two of them in part.
+                    if write(&mut client, 0, write_id, area as u64 * 256 + 16, 96).status
                         == status::GOOD
                     {
-                        acked.store(mine, order);
+                        acknowledged.store(write_id, order);
                     }
                 }
             });
@@ -149,41 +159,45 @@
             std::thread::sleep(Duration::from_millis(20));
             let before = [0, 1].map(|a: usize| written[a][0].load(order));
             match site.request(&format!("snapshot a s{n}")) {
-                Ok(told) => {
-                    let unit = told
+                Ok(answer) => {
+                    let lun = answer
                         .rsplit(' ')
                         .next()
                         .and_then(|u| u.parse().ok())
-                        .expect("a LUN");
+                        .expect("no logical unit number in the answer");
                     let after = [0, 1].map(|a: usize| written[a][1].load(order));
-                    snapshots.push((unit, [(before[0], after[0]), (before[1], after[1])]));
+                    snapshots.push((lun, [(before[0], after[0]), (before[1], after[1])]));
                 }
-                Err(why) => assert!(why.contains("no snapshot was made"), "{why}"),
+                Err(error) => assert!(error.contains("no snapshot was made"), "{error}"),
             }
         }
-        over.store(true, order);
+        is_over.store(true, order);
     });
-    assert!(snapshots.len() > 15, "{} of 25", snapshots.len());
+    assert!(
+        snapshots.len() > 15,
+        "only {} of 25 snapshots were taken",
+        snapshots.len()
+    );
     let mut client = site.client(0);
-    let mut differ = std::collections::BTreeSet::new();
-    for (unit, areas) in snapshots {
+    let mut distinct_writes = std::collections::BTreeSet::new();
+    for (lun, areas) in snapshots {
         for (area, (before, after)) in areas.into_iter().enumerate() {
-            let shown = read_ids(&mut client, unit, area as u64 * 256 + 16, 96);
+            let shown = read_ids(&mut client, lun, area as u64 * 256 + 16, 96);
             assert!(
                 shown.iter().all(|id| *id == shown[0]),
-                "LUN {unit}: {shown:?}"
+                "LUN {lun} shows parts of writes: {shown:?}"
             );
             assert!(
                 (before..=after).contains(&shown[0]),
-                "LUN {unit}: {} in {before}..={after}",
+                "LUN {lun}: write {}, expected one in {before}..={after}",
                 shown[0]
             );
-            differ.insert(shown[0]);
+            distinct_writes.insert(shown[0]);
         }
     }
     assert!(
-        differ.len() > 20,
-        "{} different writes were caught",
-        differ.len()
+        distinct_writes.len() > 20,
+        "only {} distinct writes are in snapshots",
+        distinct_writes.len()
     );
 }
--- a/crates/testbed/tests/snapshots/main.rs
+++ b/crates/testbed/tests/snapshots/main.rs
@@ -1,4 +1,4 @@
-//! Snapshots and clones through real processes: a catalog, two hosts, three stand-in nodes.
+//! Tests of snapshots and clones with real processes: a snapshot catalog and two hosts, with three stand-in nodes.
 mod archives;
 mod crash_points;
 mod failures;
--- a/crates/testbed/tests/snapshots/site.rs
+++ b/crates/testbed/tests/snapshots/site.rs
@@ -1,4 +1,4 @@
-//! A snapshot catalog with hosts and nodes.
+//! Snapshot catalog with hosts and stand-in nodes.
 use mallowseam_audit::block;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
@@ -19,10 +19,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
+/// iSCSI target name of the hosts.
 pub(crate) const TARGET: &str = "iqn.t:gateway";
 
+/// Number of blocks of an extent.
 pub(crate) const EXTENT: u64 = 32;
 
+/// Processes and nodes of one test.
 pub(crate) struct Site {
     pub(crate) dir: tempfile::TempDir,
     pub(crate) catalog: Option<Child>,
@@ -38,7 +41,7 @@
         Site::with(2, None)
     }
 
-    /// Starts this many hosts and a catalog that aborts at a step.
+    /// Starts `hosts` hosts, and a catalog that aborts at step `crash_at`, if there is one.
     pub(crate) fn with(hosts: usize, crash_at: Option<u64>) -> Site {
         static NEXT: AtomicU16 = AtomicU16::new(0);
         let (pid, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -60,9 +63,9 @@
                 Trace::disabled(),
                 1,
             )
-            .expect("a node")
+            .expect("cannot start the stand-in node")
         };
-        let dir = tempfile::tempdir().expect("a directory");
+        let dir = tempfile::tempdir().expect("cannot create a temporary directory");
         let host_addresses = vec![address(5), address(6)];
         for (i, host) in host_addresses.iter().enumerate() {
             let d = dir.path().display();
@@ -84,15 +87,16 @@
                     "node node{n}\n  address {}\n  target iqn.t:node{n}",
                     address(n)
                 )
-                .expect("writing to memory");
+                .expect("writing to a string does not fail");
             }
             if crash_at.is_some() {
-                // Space is reclaimed after the longest deadline.
+                // Space is reclaimed after the longest deadline, which is shortened here.
                 text = text
                     .replace("hard-limit 4s", "hard-limit 2100ms")
                     .replace("hard-limit 3s", "hard-limit 2100ms");
             }
-            std::fs::write(dir.path().join(format!("conf{i}")), text).expect("a file");
+            std::fs::write(dir.path().join(format!("conf{i}")), text)
+                .expect("cannot write the file");
         }
         let nodes = (0..3).map(node).collect();
         let node_addresses = (0..3).map(address).collect();
@@ -121,28 +125,30 @@
         self.dir.path().join(name)
     }
 
-    pub(crate) fn start(&self, what: &[&str], conf: usize, sock: &str, asked: &str) -> Child {
+    /// Starts a process with a subcommand, and waits until it answers a request on its control socket, or has ended if
+    /// it is to abort.
+    pub(crate) fn start(&self, args: &[&str], conf: usize, socket: &str, request: &str) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         command
             .arg("host")
-            .args(what)
+            .args(args)
             .arg(self.path(&format!("conf{conf}")));
         let child = command
             .stdin(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("a process");
+            .expect("cannot start the process");
         let began = Instant::now();
         let mut child = child;
-        while send_request(&self.path(sock), asked).is_err() {
+        while send_request(&self.path(socket), request).is_err() {
             if !matches!(child.try_wait(), Ok(None))
-                && what.iter().any(|w| w.starts_with("--die-at"))
+                && args.iter().any(|w| w.starts_with("--die-at"))
             {
                 break;
             }
             assert!(
                 began.elapsed() < Duration::from_secs(10),
-                "{what:?} does not start"
+                "{args:?} did not answer within 10 s"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -158,58 +164,59 @@
         self.catalog = Some(self.start(&["catalog", &at], 0, "catalog.sock", "list"));
     }
 
-    /// Starts the catalog again if it has crashed; whether it had.
+    /// Starts the catalog again if it has crashed. Returns whether it had.
     pub(crate) fn restart_crashed(&mut self) -> bool {
-        let died = self
+        let crashed = self
             .catalog
             .as_mut()
             .is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
-        if died {
+        if crashed {
             self.crashes += 1;
             self.start_catalog();
         }
-        died
+        crashed
     }
 
     pub(crate) fn kill_catalog(&mut self) {
-        let mut child = self.catalog.take().expect("it runs");
-        child.kill().expect("a child");
-        child.wait().expect("a child");
+        let mut child = self.catalog.take().expect("process is not running");
+        child.kill().expect("cannot kill the process");
+        child.wait().expect("cannot wait for the process");
     }
 
     pub(crate) fn request(&self, line: &str) -> Result<String, String> {
         send_request(&self.path("catalog.sock"), line).map_err(|e| e.to_string())
     }
 
-    /// Takes a snapshot, or makes a clone; its LUN.
+    /// Takes a snapshot or makes a clone, and returns its LUN.
     pub(crate) fn request_lun(&self, line: &str) -> u32 {
-        let told = self.request(line).expect(line);
-        told.rsplit(' ')
+        let answer = self.request(line).expect(line);
+        answer
+            .rsplit(' ')
             .next()
             .and_then(|n| n.parse().ok())
-            .expect("a LUN")
+            .expect("no logical unit number in the answer")
     }
 
-    /// The list of the catalog, which is started again if it has crashed.
+    /// Returns the catalog's list. If the catalog has crashed, it is started again.
     pub(crate) fn list(&mut self) -> String {
         let began = Instant::now();
         loop {
             self.restart_crashed();
             match self.request("list") {
                 Ok(list) => return list,
-                Err(why) => assert!(began.elapsed() < Duration::from_secs(5), "{why}"),
+                Err(error) => assert!(began.elapsed() < Duration::from_secs(5), "{error}"),
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Extent locations of the catalog's tree; none while it does not answer.
+    /// Returns the number of extent locations in the catalog's tree, or 0 while the catalog does not answer.
     pub(crate) fn location_count(&self) -> usize {
         let Ok(text) = self.request("tree") else {
             return 0;
         };
-        let tree: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-        let layers = tree["layers"].as_object().expect("layers");
+        let tree: serde_json::Value = serde_json::from_str(&text).expect("invalid JSON");
+        let layers = tree["layers"].as_object().expect("tree has no layers");
         layers
             .values()
             .map(|l| l["places"].as_object().map_or(0, serde_json::Map::len))
@@ -217,7 +224,8 @@
     }
 
     pub(crate) fn client(&self, host: usize) -> BlockingClient {
-        BlockingClient::open(self.host_addresses[host], Some(TARGET), host as u32).expect("a login")
+        BlockingClient::open(self.host_addresses[host], Some(TARGET), host as u32)
+            .expect("cannot log in")
     }
 }
 
@@ -244,7 +252,7 @@
             0,
             block::write(id, lba, blocks),
         )
-        .expect("an answer")
+        .expect("no answer to the request")
 }
 
 pub(crate) fn write_good(client: &mut BlockingClient, lun: u32, id: u64, lba: u64, blocks: u32) {
@@ -252,36 +260,36 @@
     assert_eq!(answer.status, status::GOOD, "{:?}", answer.sense);
 }
 
-/// Per block the id of the write it shows.
+/// Reads blocks, and returns the id of the write that each of them shows.
 pub(crate) fn read_ids(client: &mut BlockingClient, lun: u32, lba: u64, blocks: u32) -> Vec<u64> {
-    let room = blocks as usize * 512;
+    let read_len = blocks as usize * 512;
     let answer = client
         .execute(
             lun,
             &scsi::read_or_write_16(false, lba, blocks, 0),
-            room,
+            read_len,
             vec![],
         )
-        .expect("an answer");
+        .expect("no answer to the request");
     assert_eq!(answer.status, status::GOOD, "{:?}", answer.sense);
     let shown = answer.data.chunks(512).enumerate();
     shown
-        .map(|(i, b)| block::read(b, lba + i as u64).expect("a whole write"))
+        .map(|(i, b)| block::read(b, lba + i as u64).expect("block is corrupt"))
         .collect()
 }
 
 impl Site {
-    /// Runs the program with the first host's configuration; its exit code and what it printed.
-    pub(crate) fn run(&self, what: &[&str], rest: &[&str]) -> (i32, String) {
+    /// Runs a subcommand with the first host's configuration, and returns its exit code and output.
+    pub(crate) fn run(&self, subcommand: &[&str], rest: &[&str]) -> (i32, String) {
         let conf = self.path("conf0").display().to_string();
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         let output = command
             .arg("host")
-            .args(what)
+            .args(subcommand)
             .arg(conf)
             .args(rest)
             .output()
-            .expect("a run");
+            .expect("cannot run the program");
         let text = [output.stdout, output.stderr].concat();
         (
             output.status.code().unwrap_or(-1),
--- a/crates/testbed/tests/snapshots/space.rs
+++ b/crates/testbed/tests/snapshots/space.rs
@@ -1,4 +1,5 @@
-//! Space that is reclaimed, and `verify`.
+//! Reclaim of deleted snapshots and clones, and `verify`. Guards against space that is never reclaimed, and against
+//! leaked slots that `verify` does not find.
 use crate::site::{EXTENT, Site, read_ids, write_good};
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
@@ -24,11 +25,11 @@
         site.request(&format!("delete {name}")).expect(name);
     }
     let began = Instant::now();
-    // What the volume shows: four extents, of which one has been written since.
+    // The four extents of the volume remain, one of them rewritten after the last snapshot.
     while site.location_count() != 4 {
         assert!(
             began.elapsed() < Duration::from_secs(20),
-            "{} places",
+            "{} extent locations remain, expected 4",
             site.location_count()
         );
         std::thread::sleep(Duration::from_millis(50));
@@ -49,7 +50,7 @@
     let (code, text) = site.run(&["verify"], &[]);
     assert!(
         code == 1 && !text.contains("places"),
-        "the catalog runs: {text}"
+        "verify ran beside a running catalog: {text}"
     );
     site.kill_catalog();
     let (code, text) = site.run(&["verify"], &[]);
@@ -57,14 +58,15 @@
         code == 0 && text.contains("places 7, of which hold data 7; leaked 0; faults 0"),
         "{text}"
     );
-    // A host that crashed during an extent copy leaves this behind.
+    // Writes a slot without a reference, as a host that crashes during an extent copy leaves it.
     let node = site.node_addresses[1];
-    let mut straight = BlockingClient::open(node, Some("iqn.t:node1"), 9).expect("a login");
+    let mut node_client =
+        BlockingClient::open(node, Some("iqn.t:node1"), 9).expect("cannot log in");
     let cdb = scsi::read_or_write_16(true, 900 * EXTENT, 8, 0);
     assert_eq!(
-        straight
+        node_client
             .execute(1025, &cdb, 0, vec![7; 4096])
-            .expect("an answer")
+            .expect("no answer to the request")
             .status,
         status::GOOD
     );
