--- a/crates/testbed/src/cli/fleet_rehearsal.rs
+++ b/crates/testbed/src/cli/fleet_rehearsal.rs
@@ -27,7 +27,8 @@
     if !name.ends_with(SCRIPT_SUFFIX) {
         return Ok(None);
     }
-    let text = std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?;
+    let text =
+        std::fs::read_to_string(name).map_err(|e| format!("cannot read script {name}: {e}"))?;
     Ok(Some(text))
 }
 
--- a/crates/testbed/src/cli/rehearsal.rs
+++ b/crates/testbed/src/cli/rehearsal.rs
@@ -13,7 +13,9 @@
 pub(super) fn play(name: &str, first_seed: u64, seeds: u64, quiet: bool) -> CommandResult {
     let text = match builtin::rehearsal(name) {
         Some(text) => text.to_owned(),
-        None => std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
+        None => {
+            std::fs::read_to_string(name).map_err(|e| format!("cannot read script {name}: {e}"))?
+        }
     };
     let scenario = script::parse(name, &text)?;
     let mut passed = true;
--- a/crates/testbed/src/fleet/peers/nodes.rs
+++ b/crates/testbed/src/fleet/peers/nodes.rs
@@ -11,7 +11,8 @@
 const INITIAL_NODES_WITHIN: Micros = 100_000;
 
 impl SimulatedPeers {
-    /// Adds a node of a shard and returns its index. With `cold`, the node starts now, else it has run for long.
+    /// Adds a node of a shard and returns its index. With `cold`, the node starts now; otherwise it has
+    /// been running for a long time.
     ///
     /// # Errors
     /// A listener cannot be opened.
