--- a/crates/testbed/tests/snapshots/crash_points.rs
+++ b/crates/testbed/tests/snapshots/crash_points.rs
@@ -13,7 +13,8 @@
 /// Number of threads, each of which tests one step at a time.
 const THREADS: usize = 32;
 /// Parts of error texts of requests whose answer was lost because the catalog aborted.
-const LOST_ANSWER_ERRORS: [&str; 4] = ["reset", "whole", "refused", "pipe"];
+const LOST_ANSWER_ERRORS: [&str; 4] =
+    ["reset", "before the answer was complete", "refused", "pipe"];
 
 /// Id of the last acknowledged write to each block.
 type AcknowledgedIds = [u64; BLOCKS];
