--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -150,6 +150,15 @@
         }
     }
 
+    /// Returns whether the connection may be evicted for a new one.
+    #[must_use]
+    pub fn is_evictable(&self) -> bool {
+        matches!(
+            self.phase,
+            Phase::Lingering | Phase::Idle | Phase::AwaitingFirstRequest
+        )
+    }
+
     /// Returns the connection's place in the order of eviction: by rank, then by the time it entered its phase,
     /// earliest first. `None`: the connection is not evicted.
     fn eviction_key(&self, now: Millis) -> Option<(EvictionRank, Millis)> {
--- a/crates/connection-policy/src/lib.rs
+++ b/crates/connection-policy/src/lib.rs
@@ -13,6 +13,7 @@
 //!
 //! For clients that send one request at a time (HTTP):
 //! - [`client_connection`]: timeouts of a connection, and which one is evicted when there are too many.
+//! - [`connection_reserve`]: how many connections are kept for new clients while the others wait for nodes.
 //! - `rejection_backoff`: how long a client's next request is left unread after a rejected one.
 //! - [`graceful_shutdown`]: how long a host that shuts down admits requests.
 //! - [`resource_budget`]: how descriptors and memory are divided between clients and nodes.
@@ -34,6 +35,7 @@
 pub mod admission;
 pub mod client_connection;
 pub mod command_progress;
+pub mod connection_reserve;
 pub mod endpoint_list_request;
 pub mod graceful_shutdown;
 pub mod keep_alive;
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -16,6 +16,7 @@
 use connection::{Client, ReadError};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection::{self, Phase, TimeoutAction};
+use mallowseam_connection_policy::connection_reserve::ConnectionReserve;
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_http1::RequestHead;
 use mallowseam_platform::response;
@@ -129,6 +130,18 @@
         self.connections.len() >= self.max_connections
     }
 
+    /// Returns whether a complete request may be admitted. Otherwise it has to be answered at once, because nearly all
+    /// connections have requests in flight, and the next clients could not be served.
+    pub fn may_admit(&self) -> bool {
+        let unopened = self.max_connections.saturating_sub(self.connections.len());
+        ConnectionReserve::new(self.max_connections).admits_request(unopened, || {
+            self.connections
+                .iter()
+                .filter(|(_, client)| client.state().is_evictable())
+                .count()
+        })
+    }
+
     /// Returns whether the memory limit of clients allows `bytes` more bytes.
     pub fn has_capacity(&self, bytes: usize) -> bool {
         self.memory.has_room_for(bytes)
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -186,7 +186,8 @@
 
     /// Handles the complete request of a client.
     fn on_request(&mut self, slot: u32, is_ready: bool) {
-        let Some(io) = self.host.admit_request(slot, is_ready) else {
+        let retry_after = self.scheduler.shed_retry_after();
+        let Some(io) = self.host.admit_request(slot, is_ready, retry_after) else {
             return;
         };
         let now = self.now();
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -5,12 +5,18 @@
 use mallowseam_platform::interner::InternError;
 use mallowseam_platform::request::{self, BlockRequest, ClientRequest};
 use mallowseam_platform::response;
-use mallowseam_scheduler::interface::Bio;
+use mallowseam_scheduler::interface::{Bio, Tick};
+use mallowseam_sockets::clock::ticks_to_millis;
 
 impl SchedulerHost {
     /// Returns the block I/O of a complete request, for the scheduler, or `None` if the request was already answered.
-    /// `is_ready`: an endpoint is known.
-    pub(super) fn admit_request(&mut self, slot: ClientSlot, is_ready: bool) -> Option<Bio> {
+    /// `is_ready`: an endpoint is known. `retry_after`: ticks after which the client may retry if its request is shed.
+    pub(super) fn admit_request(
+        &mut self,
+        slot: ClientSlot,
+        is_ready: bool,
+        retry_after: Option<Tick>,
+    ) -> Option<Bio> {
         let now = self.times.now_ms();
         let (head, body) = self.clients.request(slot)?;
         let block = match request::parse(&head, body.len(), &self.settings) {
@@ -32,9 +38,21 @@
             self.clients.respond(slot, response, now);
             return None;
         }
+        if !self.clients.may_admit() {
+            self.shed_request(slot, retry_after);
+            return None;
+        }
         self.admit(slot, &block)
     }
 
+    /// Sheds a request that is not admitted.
+    fn shed_request(&mut self, slot: ClientSlot, retry_after: Option<Tick>) {
+        self.counters.shed += 1;
+        let response = Response::empty(response::SHED_STATUS)
+            .with_retry_after(retry_after.map(ticks_to_millis));
+        self.clients.respond(slot, response, self.times.now_ms());
+    }
+
     /// Responds to a readiness check, and closes its connection, since such connections carry no block I/Os.
     fn respond_readiness(&mut self, slot: ClientSlot, is_ready: bool) {
         self.counters.readiness_checks += 1;
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -7,7 +7,7 @@
 use mallowseam_sockets::clock::ticks_to_millis;
 use mio::Poll;
 use mio::net::TcpStream;
-use std::io::Write;
+use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
@@ -24,6 +24,9 @@
 /// Age of a poll result, in ticks, at which it is still fresh.
 const FRESH: Tick = 200;
 
+/// Maximum number of client connections.
+const MAX_CLIENTS: usize = 64;
+
 struct Fixture {
     _poll: Poll,
     dispatcher: Dispatcher,
@@ -42,7 +45,7 @@
         };
         let settings = mallowseam_platform::settings::parse(SETTINGS).expect("valid settings");
         let (node, listener) = (listen(), listen());
-        let clients = ClientConnections::new(registry(), 64, 1 << 20);
+        let clients = ClientConnections::new(registry(), MAX_CLIENTS, 1 << 20);
         let keep_alive = KeepAlivePolicy::new(Some(15_000), ticks_to_millis(now));
         let nodes = NodeConnections::new(registry(), 64, 1 << 20, 2_500, keep_alive);
         let scheduler = Scheduler::new(&settings.scheduler, 7, now);
@@ -66,12 +69,19 @@
     /// Connects a client that sends a complete request. Returns its connection and its slot. `is_polled`: the poll has
     /// reported the connection as readable.
     fn connect_and_request(&mut self, is_polled: bool) -> (std::net::TcpStream, u32) {
+        self.connect_and_request_as("a1", is_polled)
+    }
+
+    /// Like `connect_and_request`, with the request id `id`.
+    fn connect_and_request_as(&mut self, id: &str, is_polled: bool) -> (std::net::TcpStream, u32) {
         let address = self.listener.local_addr().expect("bound");
         let mut client = std::net::TcpStream::connect(address).expect("it listens");
         let (socket, _) = self.listener.accept().expect("cannot accept the client");
-        let text = "GET /look/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: s\r\nX-Request-ID: a1\r\n\
+        let text = format!(
+            "GET /look/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id}\r\n\
              X-Priority-Class: look\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 8000\r\n\
-             X-Placement: units=1,shard=0,hosts=1\r\n\r\n";
+             X-Placement: units=1,shard=0,hosts=1\r\n\r\n"
+        );
         client.write_all(text.as_bytes()).expect("open");
         wait_until(
             "the request arrives at the host's socket",
@@ -107,6 +117,13 @@
         self.dispatcher.on_request(slot, true);
     }
 
+    /// Reads all queued connections, as the event loop does between two polls.
+    fn read_queued(&mut self) {
+        while let Some(slot) = self.dispatcher.clients_mut().next_queued() {
+            self.dispatcher.read_client(slot, &mut [0; 4_096], true);
+        }
+    }
+
     /// Advances the time by `by`, to `since_poll` ticks after the last poll, and fires the scheduler's timer.
     fn advance(&mut self, by: Tick, since_poll: Tick) {
         self.set_time(self.dispatcher.now() + by, since_poll);
@@ -229,3 +246,38 @@
     fixture.advance(4_000, STALE);
     assert!(fixture.was_attempted() && fixture.dispatcher.in_flight() == 1);
 }
+
+/// A host that is cut off from its nodes has requests in flight on all its connections. Without a reserve it closed new
+/// connections with their requests unread.
+#[test]
+fn requests_of_new_clients_are_shed_at_once_while_nearly_all_connections_are_in_flight() {
+    let mut fixture = Fixture::new(1_000_000);
+    let mut connections = Vec::new();
+    let mut responses = Vec::new();
+    for number in 0..2 * MAX_CLIENTS {
+        let (client, slot) = fixture.connect_and_request_as(&format!("a{number}"), true);
+        fixture.handle_request(slot);
+        fixture.read_queued();
+        let mut response = vec![0; 512];
+        client
+            .set_nonblocking(true)
+            .expect("cannot make the socket non-blocking");
+        if let Ok(count) = (&client).read(&mut response) {
+            responses.push(String::from_utf8_lossy(&response[..count]).into_owned());
+        }
+        connections.push(client);
+    }
+    let rejected = fixture.dispatcher.clients().counters().rejected;
+    assert_eq!(rejected, 0, "no connection is closed unread");
+    let in_flight = MAX_CLIENTS - MAX_CLIENTS / 8;
+    assert_eq!(fixture.dispatcher.in_flight(), in_flight);
+    assert_eq!(
+        responses.len(),
+        2 * MAX_CLIENTS - in_flight,
+        "every other request is answered"
+    );
+    for response in responses {
+        assert!(response.starts_with("HTTP/1.1 503 "), "{response}");
+        assert!(response.contains("Retry-After: "), "{response}");
+    }
+}
--- a/crates/scheduler/src/policy/scheduler.rs
+++ b/crates/scheduler/src/policy/scheduler.rs
@@ -127,6 +127,13 @@
         }
     }
 
+    /// Returns the Retry-After of shed block I/Os, in ticks, for requests that the host sheds before their arrival at the
+    /// scheduler. `None` if the configuration allows none.
+    #[must_use]
+    pub fn shed_retry_after(&self) -> Option<Tick> {
+        self.answer_rules.retry_after
+    }
+
     /// Handles the arrival of a block I/O.
     pub fn on_arrival(&mut self, host: &mut dyn Host, now: Tick, bio: Bio) {
         self.retry_budget.record_arrival(now);
