--- a/crates/audit/src/fleet/record.rs
+++ b/crates/audit/src/fleet/record.rs
@@ -80,6 +80,8 @@
         units: u32,
         /// Whether the operation is a write; otherwise it is a read.
         write: bool,
+        /// Time at which the host had sent the first byte of the attempt. A link with a fault may deliver it later.
+        sent_at: Micros,
     },
     /// A node responded to an attempt.
     NodeResponded {
--- a/crates/audit/src/fleet/trace.rs
+++ b/crates/audit/src/fleet/trace.rs
@@ -63,6 +63,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub at: Micros,
+    /// Time at which the host had sent the first byte.
+    pub sent_at: Micros,
     pub node: u32,
     pub host: u32,
     pub end: Option<AttemptEnd>,
@@ -202,7 +204,13 @@
 
     fn add_of_node(&mut self, at: Micros, event: &Event, verdict: &mut Verdict) {
         match *event {
-            Event::NodeReceived { node, host, op, .. } => {
+            Event::NodeReceived {
+                node,
+                host,
+                op,
+                sent_at,
+                ..
+            } => {
                 if !self.operations.contains_key(&op) {
                     let at = seconds(at);
                     let violation = format!(
@@ -212,6 +220,7 @@
                 }
                 let attempt = Attempt {
                     at,
+                    sent_at,
                     node,
                     host,
                     end: None,
--- a/crates/audit/tests/fleet/rules.rs
+++ b/crates/audit/tests/fleet/rules.rs
@@ -45,6 +45,7 @@
             op,
             units,
             write: true,
+            sent_at: at * MS,
         },
     )
 }
@@ -304,6 +305,30 @@
     assert_eq!(violated(reopened), []);
 }
 
+/// Sets the time at which the host had sent the first byte of each attempt, in milliseconds.
+fn set_sent_at(observations: &mut [Observation], at: u64) {
+    for observation in observations {
+        if let Event::NodeReceived { sent_at, .. } = &mut observation.event {
+            *sent_at = at * MS;
+        }
+    }
+}
+
+/// A link that is cut delivers an attempt when it is restored, possibly long after the node began to drain.
+#[test]
+fn an_attempt_counts_for_the_rule_on_drains_from_its_first_byte() {
+    let mut delayed = served_while_draining(900);
+    set_sent_at(&mut delayed, 400);
+    assert_eq!(violated(delayed), [], "sent within the grace time");
+    let mut late = served_while_draining(900);
+    set_sent_at(&mut late, 800);
+    assert_eq!(
+        violated(late),
+        [Rule::Drains],
+        "sent past the grace time and delivered later"
+    );
+}
+
 #[test]
 fn a_host_that_counts_as_notified_is_held_to_the_rule_on_drains() {
     assert_eq!(violated(served_while_undeliverable(900, 1_000)), []);
--- a/crates/testbed/src/fleet/peers/connections.rs
+++ b/crates/testbed/src/fleet/peers/connections.rs
@@ -62,6 +62,9 @@
     pub timeout_id: Option<u64>,
     pub to_peer: Pipe,
     pub to_host: Pipe,
+    /// Time at which the first byte of the request to a node arrived from the host's socket. `None` before that byte, and
+    /// on other connections.
+    pub request_began: Option<Micros>,
     /// Bytes that the peer has received but not processed.
     pub received: Vec<u8>,
     /// Bytes that have not been written to the socket.
@@ -126,6 +129,7 @@
             timeout_id: None,
             to_peer: Pipe::default(),
             to_host: Pipe::default(),
+            request_began: None,
             received: Vec::new(),
             unsent: Vec::new(),
             read_paused: false,
@@ -282,6 +286,9 @@
             }
             match nonblocking::read(&mut connection.socket, &mut self.read_buffer) {
                 ReadOutcome::Read(count) => {
+                    if matches!(connection.role, ConnectionRole::Node { .. }) {
+                        connection.request_began.get_or_insert(now);
+                    }
                     connection.to_peer.push(
                         now,
                         &self.read_buffer[..count],
--- a/crates/testbed/src/fleet/peers/nodes.rs
+++ b/crates/testbed/src/fleet/peers/nodes.rs
@@ -116,6 +116,7 @@
         };
         let id = connection.id(index);
         let host = connection.host;
+        let sent_at = connection.request_began.take().unwrap_or(now);
         let ConnectionRole::Node {
             node,
             pending,
@@ -141,6 +142,7 @@
             op,
             units,
             write,
+            sent_at,
         });
         match self.nodes[node as usize].receive(now, request) {
             Arrival::Queued => {}
