--- a/crates/testbed/src/fleet/peers.rs
+++ b/crates/testbed/src/fleet/peers.rs
@@ -62,7 +62,6 @@
     scenario: Scenario,
     /// Addresses of the run.
     pub addresses: Addresses,
-    _address_claim: TcpListener,
     start: Instant,
     /// Wall-clock time at the start, in milliseconds since the Unix epoch.
     start_unix_ms: i64,
@@ -97,6 +96,8 @@
     pub observations: Vec<Observation>,
     rng: Pcg64Mcg,
     read_buffer: Vec<u8>,
+    /// Claims the addresses. The last field, so that it is dropped once all other sockets of the run are closed.
+    _address_claim: TcpListener,
 }
 
 impl SimulatedPeers {
--- a/crates/testbed/src/fleet/testbed.rs
+++ b/crates/testbed/src/fleet/testbed.rs
@@ -42,10 +42,10 @@
 /// Run in progress.
 pub struct Testbed {
     scenario: Scenario,
+    /// Host processes. Dropped, and so killed, before the peers, which hold the claim of the run's addresses.
+    pub processes: HostProcesses,
     /// Simulated peers of the hosts.
     pub peers: SimulatedPeers,
-    /// Host processes.
-    pub processes: HostProcesses,
     host_seeds: Pcg64Mcg,
     /// Index of the discovery service that each host is configured with.
     discovery_services: Vec<u32>,
