--- a/crates/gateway/tests/pinned/host.rs
+++ b/crates/gateway/tests/pinned/host.rs
@@ -107,6 +107,13 @@
     format!("{before}  up # s{after}")
 }
 
+/// Latency that the scheduler expects of an idle node under the fixtures' configuration, in milliseconds.
+const IDLE_LATENCY_MS: f64 = 24.0;
+/// Fraction of a node's mean latency that the scheduler keeps in an allocation interval without attempts.
+const IDLE_DECAY: f64 = 0.9;
+/// Maximum number of allocation intervals until the services have been run.
+const MAX_IDLE_INTERVALS: usize = 100;
+
 #[test]
 fn control_socket_and_status_match_the_fixture() {
     let setup = Setup::new();
@@ -333,7 +340,27 @@
         services.run_plan_service(),
         services.run_catalog(),
     ];
-    let status = mask(&services.setup.mask(&services.status()), "part");
+    let status = services.status();
+    assert_idle_latencies(&status);
+    let status = mask(&mask(&services.setup.mask(&status), "part"), "wait_ms");
     services.transcript.add("status:", &status);
     assert_pinned("host-messages.txt", services.transcript.text());
 }
+
+/// Checks that the mean latency of both nodes is exactly that of a node after a whole number of idle allocation
+/// intervals. The number itself depends on how fast the services were run.
+fn assert_idle_latencies(status: &str) {
+    let latencies: Vec<f64> = status
+        .split("\"wait_ms\":")
+        .skip(1)
+        .map(|rest| rest.split(',').next().expect("a value follows"))
+        .map(|value| value.parse().expect("the mean latency is a number"))
+        .collect();
+    let mut after_interval: f64 = 0.0;
+    let is_reached = (0..MAX_IDLE_INTERVALS).any(|_| {
+        after_interval = after_interval * IDLE_DECAY + IDLE_LATENCY_MS * (1.0 - IDLE_DECAY);
+        let is_equal = |latency: &f64| (latency - after_interval).abs() < 1e-9;
+        latencies.len() == 2 && latencies.iter().all(is_equal)
+    });
+    assert!(is_reached, "{latencies:?}");
+}
