--- a/crates/testbed/src/fleet/peers.rs
+++ b/crates/testbed/src/fleet/peers.rs
@@ -33,6 +33,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
+use std::io::ErrorKind;
 use std::net::TcpListener;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -106,13 +107,34 @@
     /// # Errors
     /// A socket cannot be opened, or all loopback addresses are in use.
     pub(crate) fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
+        for addresses in address_ranges() {
+            let Ok(claim) = TcpListener::bind(addresses.socket_address(0, PORT_CLAIM)) else {
+                continue;
+            };
+            match Self::open_at(scenario, seed, addresses, claim) {
+                // A process that another thread is starting holds copies of all sockets until its exec, also of those
+                // of an ended run.
+                Err(TestbedError::Bind { source, .. }) if source.kind() == ErrorKind::AddrInUse => {
+                }
+                result => return result,
+            }
+        }
+        Err(TestbedError::NoFreeAddresses)
+    }
+
+    /// Opens the sockets in a claimed range of addresses.
+    fn open_at(
+        scenario: &Scenario,
+        seed: u64,
+        addresses: Addresses,
+        address_claim: TcpListener,
+    ) -> Result<SimulatedPeers, TestbedError> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let poll = Poll::new().map_err(TestbedError::Poll)?;
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let queue = || DiscoveryQueue::new(scenario.service_time, scenario.queue_timeout);
-        let (addresses, address_claim) = claim_addresses()?;
         let mut peers = SimulatedPeers {
             addresses,
             _address_claim: address_claim,
@@ -220,15 +242,8 @@
     }
 }
 
-/// Claims loopback addresses that no other run on this machine uses. Returns them with the listener that holds the
-/// claim.
-fn claim_addresses() -> Result<(Addresses, TcpListener), TestbedError> {
+/// Returns the ranges of loopback addresses that runs claim, beginning at one that depends on the process.
+fn address_ranges() -> impl Iterator<Item = Addresses> {
     let first = (std::process::id() * 7) % NETWORKS;
-    for n in 0..NETWORKS {
-        let addresses = Addresses::new((FIRST_NETWORK + (first + n) % NETWORKS) as u8);
-        if let Ok(listener) = TcpListener::bind(addresses.socket_address(0, PORT_CLAIM)) {
-            return Ok((addresses, listener));
-        }
-    }
-    Err(TestbedError::NoFreeAddresses)
+    (0..NETWORKS).map(move |n| Addresses::new((FIRST_NETWORK + (first + n) % NETWORKS) as u8))
 }
