--- a/crates/testbed/tests/fleet/closed_connections.rs
+++ b/crates/testbed/tests/fleet/closed_connections.rs
@@ -7,6 +7,7 @@
 use mallowseam_testbed::fleet::outcome::Outcome;
 use mallowseam_testbed::fleet::processes::Program;
 use mallowseam_testbed::fleet::testbed::Testbed;
+use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -84,6 +85,23 @@
     }
 }
 
+/// Returns the operations whose last request has neither a response nor lost its connection.
+fn requests_in_flight(observations: &[Observation]) -> BTreeSet<u64> {
+    let mut in_flight = BTreeSet::new();
+    for observation in observations {
+        match observation.event {
+            Event::RequestSent { op, .. } => {
+                in_flight.insert(op);
+            }
+            Event::ResponseReceived { op, .. } | Event::ConnectionLost { op } => {
+                in_flight.remove(&op);
+            }
+            _ => {}
+        }
+    }
+    in_flight
+}
+
 /// Runs clients against the simulated host until they have lost a connection and received further responses.
 fn outcome_with_host(shed: usize, unanswered: UnansweredRequest) -> Outcome {
     let scenario = changed(&[
@@ -120,8 +138,14 @@
             })
         },
     );
-    // Ends the simulated host, so that its address is free before another run claims it.
+    // Ends the simulated host, so that its address is free before another run claims it. Requests that wait to be accepted
+    // are answered before.
     testbed.peers.set_clients_active(false);
+    wait_for(
+        &mut testbed,
+        "requests in flight have a response",
+        |testbed| requests_in_flight(&testbed.peers.observations).is_empty(),
+    );
     stopped.store(true, Ordering::Relaxed);
     drop(TcpStream::connect(address).expect("cannot connect to the simulated host"));
     host.join().expect("thread panicked");
